--- a/adapter/drill.cpp
+++ b/adapter/simulator_adapter.cpp
@@ -1,4 +1,4 @@
-// quinceusher_drill: hosts balancer copies on the bench's wire (one JSON line in, one out). It parses,
+// simulator-adapter: hosts balancer copies on the bench's wire (one JSON line in, one out). It parses,
 // translates, writes and flushes; every decision is the library's.
 #include <cstdio>
 #include <iostream>
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "json/read.h"
-#include "quinceusher/balancer.h"
 #include "rapidjson/document.h"
 #include "rapidjson/error/en.h"
 #include "rapidjson/stringbuffer.h"
@@ -19,9 +19,9 @@
 
 namespace {
 
-using namespace quinceusher::json;
+using namespace asterdrift::json;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-namespace qu = quinceusher;
+namespace qu = asterdrift::balancer;
 
 qu::Outcome read_outcome(std::string_view name) {
   if (name == "delivered") return qu::Outcome::kDelivered;
@@ -275,7 +275,7 @@
       std::fputc('\n', stdout);
       if (std::fflush(stdout) != 0) return 1;
     } catch (const std::exception& problem) {
-      std::fprintf(stderr, "quinceusher_drill: line %llu, turn %s: %s\n",
+      std::fprintf(stderr, "simulator-adapter: line %llu, turn %s: %s\n",
                    static_cast<unsigned long long>(lines), turn.c_str(), problem.what());
       return 2;
     }
--- a/include/quinceusher/balancer.h
+++ b/include/asterdrift/balancer/balancer.h
@@ -1,4 +1,4 @@
-// quinceusher: the decisions of a load balancer for services that call services.
+// The decisions of a load balancer for services that call services.
 //
 // A Balancer is one copy of the load balancer. It is told what happened (events) and says what to do
 // (actions). It has no clock, no I/O, no threads and no globals: the same settings, seed and events always
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 // ---------------------------------------------------------------- settings
 
@@ -244,4 +244,4 @@
 std::vector<std::size_t> subset_of(std::size_t copy_index, std::size_t copy_count, std::size_t servers,
                                    std::size_t size);
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/json/read.cpp
+++ b/json/read.cpp
@@ -2,7 +2,7 @@
 
 #include "rapidjson/error/en.h"
 
-namespace quinceusher::json {
+namespace asterdrift::json {
 
 // Iterative: the depth of what others write must not be the depth of this stack.
 void parse(std::string_view text, rapidjson::Document& out) {
@@ -88,8 +88,10 @@
 
 namespace {
 
-RequestClass read_class(const Json& in) {
-  RequestClass out;
+balancer::RequestClass read_class(const Json& in) {
+  using balancer::DedupScope;
+  using balancer::Effect;
+  balancer::RequestClass out;
   out.aim = number(in, "aim");
   out.aim_stretch = number_or(in, "aimStretch", 0);
   out.give_up = number(in, "giveUp");
@@ -120,8 +122,8 @@
 
 }  // namespace
 
-Settings read_settings(const Json& in) {
-  Settings out;
+balancer::Settings read_settings(const Json& in) {
+  balancer::Settings out;
   out.copy_index = whole(in, "position");
   out.copy_count = whole(in, "peersTotal");
   out.tier = whole_or(in, "stage", 0);
@@ -130,7 +132,7 @@
   for (const Json& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
   if (find(in, "realms") != nullptr) {
     for (const Json& item : array(in, "realms").GetArray()) {
-      Tenant tenant;
+      balancer::Tenant tenant;
       if (find(item, "allowancePerS") != nullptr) tenant.allowance = number(item, "allowancePerS");
       out.tenants.push_back(tenant);
     }
@@ -153,4 +155,4 @@
   return out;
 }
 
-}  // namespace quinceusher::json
+}  // namespace asterdrift::json
--- a/json/read.h
+++ b/json/read.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <string_view>
 
-#include "quinceusher/balancer.h"
+#include "asterdrift/balancer/balancer.h"
 #include "rapidjson/document.h"
 
-namespace quinceusher::json {
+namespace asterdrift::json {
 
 using Json = rapidjson::Value;
 
@@ -36,6 +36,6 @@
 const Json& array(const Json& object, const char* field);
 
 // Throws BadMessage, or std::invalid_argument for a name that is unknown.
-Settings read_settings(const Json& in);
+balancer::Settings read_settings(const Json& in);
 
-}  // namespace quinceusher::json
+}  // namespace asterdrift::json
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -10,7 +10,7 @@
 namespace nettlestand {
 namespace {
 
-namespace json = quinceusher::json;
+namespace json = asterdrift::json;
 using json::Json;
 
 int zone_of(std::string_view name, const std::vector<std::string>& zones) {
@@ -102,15 +102,16 @@
   if (out.facts.address.empty()) json::wrong("host", "a name");
   const std::string_view health = json::text(in, "health");
   if (health == "active") {
-    out.facts.state = quinceusher::ServerState::kReady;
+    out.facts.state = asterdrift::balancer::ServerState::kReady;
   } else if (health == "leaving") {
-    out.facts.state = quinceusher::ServerState::kDraining;
+    out.facts.state = asterdrift::balancer::ServerState::kDraining;
   } else if (health == "left") {
-    out.facts.state = quinceusher::ServerState::kGone;
+    out.facts.state = asterdrift::balancer::ServerState::kGone;
   } else {
     json::wrong("health", "active, leaving or left");
   }
-  if (out.facts.state != quinceusher::ServerState::kGone) out.dial = read_endpoint(json::text(in, "dial"));
+  if (out.facts.state != asterdrift::balancer::ServerState::kGone)
+    out.dial = read_endpoint(json::text(in, "dial"));
   if (json::find(in, "site") != nullptr) out.facts.zone = zone_of(json::text(in, "site"), zones);
   out.facts.cell = json::whole_or(in, "block", 0);
   out.facts.weight = json::number_or(in, "share", 1);
--- a/node/config.h
+++ b/node/config.h
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "json/read.h"
-#include "quinceusher/balancer.h"
 
 namespace nettlestand {
 
@@ -22,7 +22,7 @@
 double steady_of_unix_ms(double unix_ms);
 
 struct ListedServer {
-  quinceusher::Server facts;  // its address is the name that is the same at every node
+  asterdrift::balancer::Server facts;  // its address is the name that is the same at every node
   boost::asio::ip::tcp::endpoint dial;
 };
 
@@ -38,7 +38,7 @@
   std::optional<boost::asio::ip::tcp::endpoint> management;  // for operators alone; none: not opened
   std::uint64_t seed = 0;
   std::size_t sockets = 1024, memory_mb = 64;
-  quinceusher::Settings settings;
+  asterdrift::balancer::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
   double connect_timeout = 0.25;                     // s
   double idle_close = 5;                             // s; servers close connections idle for so long
@@ -54,7 +54,7 @@
 Config read_config(const std::string& json);
 ServerList read_list(std::string_view json, const std::vector<std::string>& zones,
                      std::size_t most_servers = std::numeric_limits<std::size_t>::max());
-ListedServer read_server(const quinceusher::json::Json& in, const std::vector<std::string>& zones);
+ListedServer read_server(const asterdrift::json::Json& in, const std::vector<std::string>& zones);
 boost::asio::ip::tcp::endpoint read_endpoint(std::string_view text);
 
 }  // namespace nettlestand
--- a/node/engine.cpp
+++ b/node/engine.cpp
@@ -8,7 +8,7 @@
 namespace nettlestand {
 namespace {
 
-namespace qu = quinceusher;
+namespace qu = asterdrift::balancer;
 using boost::system::error_code;
 
 // A client counts from when it sent and until the answer's last byte has come; this much of its time is for
--- a/node/engine.h
+++ b/node/engine.h
@@ -13,15 +13,15 @@
 #include <unordered_set>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "node/config.h"
 #include "node/upstream.h"
-#include "quinceusher/balancer.h"
 
 namespace nettlestand {
 
 // A caller's request, read and found to be sound.
 struct Call {
-  quinceusher::Request facts;  // id and time_left are the engine's to fill in
+  asterdrift::balancer::Request facts;  // id and time_left are the engine's to fill in
   std::shared_ptr<Forward> forward;
   std::string client_id;
   double came_at = 0;          // on the steady clock
@@ -76,7 +76,7 @@
   std::size_t open() const { return open_; }
   void set_most_upstream_sockets(std::size_t sockets) { upstream_.set_most(sockets); }
   // What the module makes of its list now.
-  quinceusher::MembersView members() const { return balancer_.members(now()); }
+  asterdrift::balancer::MembersView members() const { return balancer_.members(now()); }
 
  private:
   struct Try {
@@ -94,14 +94,14 @@
   };
 
   void take(const ServerList& list, bool whole);
-  void post(quinceusher::Event event);
-  void run(const quinceusher::Send& action);
-  void run(const quinceusher::Refuse& action);
-  void run(const quinceusher::Fail& action);
-  void run(const quinceusher::Cancel& action);
-  void run(const quinceusher::SetTimer& action);
-  void run(const quinceusher::WatchMembers& action);
-  void run(const quinceusher::LogLine& action);
+  void post(asterdrift::balancer::Event event);
+  void run(const asterdrift::balancer::Send& action);
+  void run(const asterdrift::balancer::Refuse& action);
+  void run(const asterdrift::balancer::Fail& action);
+  void run(const asterdrift::balancer::Cancel& action);
+  void run(const asterdrift::balancer::SetTimer& action);
+  void run(const asterdrift::balancer::WatchMembers& action);
+  void run(const asterdrift::balancer::LogLine& action);
   std::shared_ptr<Live> find(const std::string& id) const;
   Reply close(Live& live);
   bool wanted(std::uint64_t request);
@@ -113,13 +113,13 @@
   void forget_if_done(const std::string& id);
 
   boost::asio::io_context& io_;
-  quinceusher::Balancer balancer_;
+  asterdrift::balancer::Balancer balancer_;
   Upstream upstream_;
   std::function<void()> watch_;
   const Config& config_;
   std::unordered_map<std::string, std::shared_ptr<Live>> live_;
   std::unordered_set<std::string> client_ids_;  // of all that is in live_
-  std::deque<quinceusher::Event> events_;
+  std::deque<asterdrift::balancer::Event> events_;
   bool running_ = false;
   std::uint64_t last_id_ = 0;
   std::size_t open_ = 0;
--- a/node/intake.h
+++ b/node/intake.h
@@ -36,7 +36,7 @@
 
  private:
   std::unordered_map<std::string, std::size_t> classes_, tenants_;
-  std::vector<quinceusher::RequestClass> class_facts_;
+  std::vector<asterdrift::balancer::RequestClass> class_facts_;
 };
 
 // Whether the bytes hold a header line that goes on in the next one, before the head's end.
--- a/node/list_reader.cpp
+++ b/node/list_reader.cpp
@@ -9,7 +9,7 @@
 namespace nettlestand {
 namespace {
 
-namespace json = quinceusher::json;
+namespace json = asterdrift::json;
 
 // Bytes of text that are held: of one entry, or of all that is no entry. Fields that nobody knows count too.
 constexpr std::size_t kMostText = 256 * 1024;
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -62,9 +62,9 @@
   return out;
 }
 
-double longest_deadline(const quinceusher::Settings& settings) {
+double longest_deadline(const asterdrift::balancer::Settings& settings) {
   double longest = 0;
-  for (const quinceusher::RequestClass& c : settings.classes) longest = std::max(longest, c.give_up);
+  for (const asterdrift::balancer::RequestClass& c : settings.classes) longest = std::max(longest, c.give_up);
   return std::min(longest, kLongestDeadline);
 }
 
@@ -185,7 +185,7 @@
   }
 
   std::string figures() const {
-    const quinceusher::MembersView servers = engine_.members();
+    const asterdrift::balancer::MembersView servers = engine_.members();
     return metrics_.text({listener_.pending(), servers.listed, servers.avoided});
   }
 
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -14,11 +14,11 @@
 #include <unordered_map>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "node/budget.h"
 #include "node/config.h"
 #include "node/metrics.h"
 #include "node/stream.h"
-#include "quinceusher/balancer.h"
 
 namespace nettlestand {
 
@@ -35,7 +35,7 @@
 };
 
 struct AttemptEnd {
-  quinceusher::Outcome outcome = quinceusher::Outcome::kUnknown;
+  asterdrift::balancer::Outcome outcome = asterdrift::balancer::Outcome::kUnknown;
   std::string body, content_type;  // of a delivered answer, unless it has passed as a stream
   Claim claim;                     // on the bytes of that body
   double asked_at = 0;             // when the request was out, where that took the client's time; else 0
@@ -73,7 +73,7 @@
                double write_within, Watcher watcher);
 
   // Stops waiting for an attempt; it ends so unless it has ended.
-  void stop(const Handle& attempt, quinceusher::Outcome outcome);
+  void stop(const Handle& attempt, asterdrift::balancer::Outcome outcome);
 
   // Keeps an attempt from its server: ends it as not sent unless it has been written whole, or is being
   // answered.
--- a/scale/guard_test.cpp
+++ b/scale/guard_test.cpp
@@ -22,7 +22,7 @@
 namespace scale {
 namespace {
 
-namespace qu = quinceusher;
+namespace qu = asterdrift::balancer;
 
 constexpr int kDialPort = 10000;
 const std::vector<std::string> kZones = {"a", "b", "c"};
--- a/scale/hollow_node.cpp
+++ b/scale/hollow_node.cpp
@@ -5,7 +5,7 @@
 
 namespace scale {
 
-namespace qu = quinceusher;
+namespace qu = asterdrift::balancer;
 
 qu::MembershipUpdate update_of(const nettlestand::ServerList& list) {
   qu::MembershipUpdate out;
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "node/config.h"
 #include "node/discovery.h"
-#include "quinceusher/balancer.h"
 
 namespace scale {
 
@@ -34,12 +34,12 @@
   std::string call();
 
  private:
-  void post(const quinceusher::Event& event);
+  void post(const asterdrift::balancer::Event& event);
   void take(const nettlestand::ServerList& list);
 
   boost::asio::io_context& io_;
   nettlestand::Config config_;
-  quinceusher::Balancer balancer_;
+  asterdrift::balancer::Balancer balancer_;
   nettlestand::Discovery discovery_;
   std::function<void(HollowNode&)> acted_;
   Counts counts_;
@@ -48,6 +48,6 @@
 };
 
 // What the module is told of a list.
-quinceusher::MembershipUpdate update_of(const nettlestand::ServerList& list);
+asterdrift::balancer::MembershipUpdate update_of(const nettlestand::ServerList& list);
 
 }  // namespace scale
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -16,7 +16,7 @@
 namespace scale {
 namespace {
 
-namespace qu = quinceusher;
+namespace qu = asterdrift::balancer;
 
 const std::vector<std::string> kZones = {"a", "b", "c"};
 constexpr int kDialPort = 10000;
--- a/src/brain.cpp
+++ b/src/balancer/brain.cpp
@@ -1,21 +1,21 @@
-// All decisions of quinceusher. The interface, that is the types, events and actions, is
-// include/quinceusher/balancer.h; read it first. Reading order here: the constants, then one section for each
-// question: admit? who is there? is it healthy? which server? how long? again? and last the events.
+// All decisions of the load balancer. The interface, that is the types, events and actions, is
+// include/asterdrift/balancer/balancer.h; read it first. Reading order here: the constants, then one section
+// for each question: admit? who is there? is it healthy? which server? how long? again? and last the events.
 #include <algorithm>
 #include <cmath>
 #include <limits>
 #include <unordered_map>
 #include <utility>
 
+#include "asterdrift/balancer/balancer.h"
 #include "cold.h"
 #include "idle.h"
 #include "members.h"
-#include "quinceusher/balancer.h"
 #include "subset.h"
 #include "support.h"
 #include "tenants.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 // ---------------------------------------------------------------- constants
@@ -601,4 +601,4 @@
 
 MembersView Balancer::members(double now) const { return impl_->members(now); }
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/cold.h
+++ b/src/balancer/cold.h
@@ -6,9 +6,9 @@
 #include <cstdint>
 #include <limits>
 
-#include "quinceusher/balancer.h"
+#include "asterdrift/balancer/balancer.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 constexpr double kColdBudget = 0.5;    // of tip_multiple x sure capacity: copies, sizes and chance differ
 constexpr double kColdTrust = 2;       // of that budget; what quick answers add to it at most
@@ -76,4 +76,4 @@
   }
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/idle.h
+++ b/src/balancer/idle.h
@@ -5,7 +5,7 @@
 
 #include "support.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 constexpr double kStartBase = 0.15;  // of the aim; taken for the usual answer time until it is learned
 constexpr double kMostBase = 0.3;    // of the aim; a start under load takes no queue for usual
@@ -33,4 +33,4 @@
   }
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/members.h
+++ b/src/balancer/members.h
@@ -8,12 +8,12 @@
 #include <utility>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "cold.h"
-#include "quinceusher/balancer.h"
 #include "ranking.h"
 #include "support.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 constexpr double kAnsweredMemory = 2;     // s; smoothing of the rate at which a server answers this copy
 constexpr double kAnswerMemory = 8;       // s; older answers tell nothing: a shunned server is tried again
@@ -265,4 +265,4 @@
   mutable std::uint64_t looked_ = 0;
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/ranking.h
+++ b/src/balancer/ranking.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 // Entries in blocks, and where each block starts. A search takes O(log n); a change moves the entries of one
 // block and counts on over the blocks, of which there are about n / 48. Not one sorted vector: its changes
@@ -128,4 +128,4 @@
   }
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -4,11 +4,11 @@
 
 #include "support.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 void require(bool good, const char* field) {
-  if (!good) throw std::invalid_argument(std::string("quinceusher settings: ") + field);
+  if (!good) throw std::invalid_argument(std::string("settings: ") + field);
 }
 
 }  // namespace
@@ -40,4 +40,4 @@
   }
 }
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/subset.h
+++ b/src/balancer/subset.h
@@ -4,11 +4,11 @@
 #include <algorithm>
 #include <vector>
 
+#include "asterdrift/balancer/balancer.h"
 #include "members.h"
-#include "quinceusher/balancer.h"
 #include "support.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 constexpr std::size_t kSubset = 8;  // servers at least; enough spread, few connections
 constexpr std::size_t kCover = 2;   // copies that use each server, at least: few copies have large subsets
@@ -87,4 +87,4 @@
   bool stays_ = false;  // calls to other zones cost more
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/support.h
+++ b/src/balancer/support.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "quinceusher/balancer.h"
+#include "asterdrift/balancer/balancer.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 // Throws std::invalid_argument, naming the field, when the settings cannot be used.
 void validate(const Settings& settings);
@@ -200,4 +200,4 @@
   return left;
 }
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/src/tenants.h
+++ b/src/balancer/tenants.h
@@ -8,7 +8,7 @@
 
 #include "support.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 constexpr double kBucket = 0.1;         // s; grain of the sliding window, a tenth of the short rate's second
 constexpr int kLastSecondBuckets = 10;  // 1000 ms, the short rate of the source
@@ -43,4 +43,4 @@
   }
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -25,12 +25,13 @@
 }
 
 Ran run(const std::vector<std::string>& lines) {
-  const std::string base = testing::TempDir() + "/drill_" + std::to_string(getpid());
+  const std::string base = testing::TempDir() + "/simulator_adapter_" + std::to_string(getpid());
   {
     std::ofstream in(base + ".in");
     for (const std::string& line : lines) in << line << '\n';
   }
-  const std::string command = std::string(DRILL) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+  const std::string command =
+      std::string(SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   Ran out;
   out.code = WEXITSTATUS(std::system(command.c_str()));
   std::istringstream answers(slurp(base + ".out"));
--- a/tests/chain_model.h
+++ b/tests/chain_model.h
@@ -14,7 +14,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 class ChainModel {
  public:
@@ -254,4 +254,4 @@
   Counts counts_;
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet_model.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 struct Fleet {
@@ -143,4 +143,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -3,25 +3,25 @@
 #include <variant>
 #include <vector>
 
-#include "quinceusher/balancer.h"
+#include "asterdrift/balancer/balancer.h"
 
 int main() {
-  quinceusher::Settings settings;
-  quinceusher::RequestClass lookup;
+  asterdrift::balancer::Settings settings;
+  asterdrift::balancer::RequestClass lookup;
   lookup.aim = 0.5;
   lookup.give_up = 2;
-  lookup.effect = quinceusher::Effect::kSafe;
+  lookup.effect = asterdrift::balancer::Effect::kSafe;
   settings.classes = {lookup};
   settings.max_attempts = 3;
 
-  quinceusher::Balancer balancer(settings, 42);
-  std::vector<quinceusher::Action> actions;
-  quinceusher::MembershipUpdate members;
+  asterdrift::balancer::Balancer balancer(settings, 42);
+  std::vector<asterdrift::balancer::Action> actions;
+  asterdrift::balancer::MembershipUpdate members;
   members.servers.push_back({.address = "10.0.0.1:80"});
   balancer.handle(0.0, members, actions);
-  balancer.handle(0.1, quinceusher::Request{.id = "r1", .time_left = 2}, actions);
-  for (const quinceusher::Action& action : actions) {
-    if (const auto* send = std::get_if<quinceusher::Send>(&action)) {
+  balancer.handle(0.1, asterdrift::balancer::Request{.id = "r1", .time_left = 2}, actions);
+  for (const asterdrift::balancer::Action& action : actions) {
+    if (const auto* send = std::get_if<asterdrift::balancer::Send>(&action)) {
       std::cout << send->id << " -> " << send->server << ", time-out " << send->timeout << " s\n";
       return 0;
     }
--- a/tests/depth_test.cpp
+++ b/tests/depth_test.cpp
@@ -8,7 +8,7 @@
 
 #include "chain_model.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 constexpr int kTiers = 28;
@@ -97,4 +97,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/error_limit_test.cpp
+++ b/tests/error_limit_test.cpp
@@ -6,7 +6,7 @@
 
 #include "chain_model.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 // By what factor a limit moves that answers have raised well above its floor, by calls at 120/s for 5 s of
@@ -67,4 +67,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/event_stream.h
+++ b/tests/event_stream.h
@@ -13,7 +13,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 class EventStream {
  public:
@@ -230,4 +230,4 @@
   std::uint64_t digest_ = 0xCBF29CE484222325ULL;
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -20,7 +20,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 enum class Trouble { kNone, kRefusing, kFailing, kSilent, kSlow, kPausing, kNoDial };
 enum class Crew { kAsTold, kHalved, kDoubled, kReplaced };
@@ -473,4 +473,4 @@
   Counts counts_;
 };
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
-#include "quinceusher/balancer.h"
+#include "asterdrift/balancer/balancer.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 
 inline RequestClass class_of(Effect effect, DedupScope scope = DedupScope::kCell) {
   RequestClass c;
@@ -77,4 +77,4 @@
   return out;
 }
 
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -6,7 +6,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 // An allowance that no test here reaches: admission stays out of the way.
@@ -354,4 +354,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/late_dial_test.cpp
+++ b/tests/late_dial_test.cpp
@@ -3,7 +3,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 // Sends one request whose first attempts end so, until nothing more is sent; how many attempts there were.
@@ -62,4 +62,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/list_reader_test.cpp
+++ b/tests/list_reader_test.cpp
@@ -15,7 +15,7 @@
 namespace nettlestand {
 namespace {
 
-using quinceusher::ServerState;
+using asterdrift::balancer::ServerState;
 using Seen = ListReader::Seen;
 
 const std::vector<std::string> kZones = {"a", "b"};
@@ -219,17 +219,17 @@
 
 // The longest time that the module waits, however often calls have failed, on a clock of its own.
 double longest_wait(double ask_within) {
-  quinceusher::Settings s = quinceusher::basic_settings();
+  asterdrift::balancer::Settings s = asterdrift::balancer::basic_settings();
   s.must_watch = true;
   s.ask_within = ask_within;
   double longest = 0, shortest = 1000;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    quinceusher::Copy copy(s, seed);
-    copy.at(0, quinceusher::Started{});
-    quinceusher::MembershipUpdate failed;
-    failed.form = quinceusher::MembershipUpdate::Form::kFailed;
+    asterdrift::balancer::Copy copy(s, seed);
+    copy.at(0, asterdrift::balancer::Started{});
+    asterdrift::balancer::MembershipUpdate failed;
+    failed.form = asterdrift::balancer::MembershipUpdate::Form::kFailed;
     for (double now = 0; now < 20;) {
-      const auto timers = quinceusher::all<quinceusher::SetTimer>(copy.at(now, failed));
+      const auto timers = asterdrift::balancer::all<asterdrift::balancer::SetTimer>(copy.at(now, failed));
       EXPECT_EQ(timers.size(), 1U);
       longest = std::max(longest, timers.at(0).at - now);
       shortest = std::min(shortest, timers.at(0).at - now);
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -9,7 +9,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 TEST(Suppression, FollowsTheWorkedFigures) {
@@ -424,4 +424,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -1,9 +1,9 @@
 // Who is there, over a long day.
-#include "../src/members.h"
+#include "balancer/members.h"
 
 #include <gtest/gtest.h>
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 Server named(int n, ServerState state = ServerState::kReady) {
@@ -48,4 +48,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/membership_scale_test.cpp
+++ b/tests/membership_scale_test.cpp
@@ -6,8 +6,8 @@
 #include <new>
 #include <set>
 
-#include "../src/members.h"
-#include "../src/subset.h"
+#include "balancer/members.h"
+#include "balancer/subset.h"
 #include "event_stream.h"
 
 namespace {
@@ -27,7 +27,7 @@
 [[gnu::noinline]] void operator delete(void* at) noexcept { std::free(at); }
 [[gnu::noinline]] void operator delete(void* at, std::size_t) noexcept { std::free(at); }
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 constexpr std::size_t kMostInOneCall = 600;    // servers looked at: 7 x kMostLooked, and to book the call
@@ -454,4 +454,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -8,7 +8,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 class Walk {
@@ -257,4 +257,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -6,7 +6,7 @@
 
 #include "harness.h"
 
-namespace quinceusher {
+namespace asterdrift::balancer {
 namespace {
 
 std::size_t finals(const std::vector<Action>& actions) {
@@ -314,4 +314,4 @@
 }
 
 }  // namespace
-}  // namespace quinceusher
+}  // namespace asterdrift::balancer
