--- a/node/ask_budget.h
+++ b/node/ask_budget.h
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class AskBudget {
  public:
@@ -60,4 +60,4 @@
   double wait_ = 0, not_before_ = 0;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/ask_limits.h
+++ b/node/ask_limits.h
@@ -22,7 +22,7 @@
 
 #include <algorithm>
 
-namespace nettlestand::ask_limits {
+namespace asterdrift::node::ask_limits {
 
 constexpr double kToldAfter = 6, kToldAfterMove = 4;  // s
 constexpr double kConnect = 1.5;                      // s
@@ -52,4 +52,4 @@
   return std::max(began + kSilence, answered + kFirstNews);
 }
 
-}  // namespace nettlestand::ask_limits
+}  // namespace asterdrift::node::ask_limits
--- a/node/budget.h
+++ b/node/budget.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class ByteBudget {
  public:
@@ -53,4 +53,4 @@
   std::size_t held_ = 0;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -7,7 +7,7 @@
 #include "json/read.h"
 #include "node/list_reader.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace json = asterdrift::json;
@@ -102,16 +102,15 @@
   if (out.facts.address.empty()) json::wrong("host", "a name");
   const std::string_view health = json::text(in, "health");
   if (health == "active") {
-    out.facts.state = asterdrift::balancer::ServerState::kReady;
+    out.facts.state = balancer::ServerState::kReady;
   } else if (health == "leaving") {
-    out.facts.state = asterdrift::balancer::ServerState::kDraining;
+    out.facts.state = balancer::ServerState::kDraining;
   } else if (health == "left") {
-    out.facts.state = asterdrift::balancer::ServerState::kGone;
+    out.facts.state = balancer::ServerState::kGone;
   } else {
     json::wrong("health", "active, leaving or left");
   }
-  if (out.facts.state != asterdrift::balancer::ServerState::kGone)
-    out.dial = read_endpoint(json::text(in, "dial"));
+  if (out.facts.state != balancer::ServerState::kGone) out.dial = read_endpoint(json::text(in, "dial"));
   if (json::find(in, "site") != nullptr) out.facts.zone = zone_of(json::text(in, "site"), zones);
   out.facts.cell = json::whole_or(in, "block", 0);
   out.facts.weight = json::number_or(in, "share", 1);
@@ -173,4 +172,4 @@
   return out;
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/config.h
+++ b/node/config.h
@@ -12,7 +12,7 @@
 #include "asterdrift/balancer/balancer.h"
 #include "json/read.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 // The steady clock in seconds, as the module speaks it.
 double now();
@@ -22,7 +22,7 @@
 double steady_of_unix_ms(double unix_ms);
 
 struct ListedServer {
-  asterdrift::balancer::Server facts;  // its address is the name that is the same at every node
+  balancer::Server facts;  // its address is the name that is the same at every node
   boost::asio::ip::tcp::endpoint dial;
 };
 
@@ -38,7 +38,7 @@
   std::optional<boost::asio::ip::tcp::endpoint> management;  // for operators alone; none: not opened
   std::uint64_t seed = 0;
   std::size_t sockets = 1024, memory_mb = 64;
-  asterdrift::balancer::Settings settings;
+  balancer::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
   double connect_timeout = 0.25;                     // s
   double idle_close = 5;                             // s; servers close connections idle for so long
@@ -57,4 +57,4 @@
 ListedServer read_server(const asterdrift::json::Json& in, const std::vector<std::string>& zones);
 boost::asio::ip::tcp::endpoint read_endpoint(std::string_view text);
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/discovery.cpp
+++ b/node/discovery.cpp
@@ -15,7 +15,7 @@
 #include "node/engine.h"
 #include "node/list_reader.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace beast = boost::beast;
@@ -254,4 +254,4 @@
   listeners_.failed();
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/discovery.h
+++ b/node/discovery.h
@@ -14,7 +14,7 @@
 #include "node/ask_budget.h"
 #include "node/config.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class Discovery {
  public:
@@ -70,4 +70,4 @@
   boost::asio::steady_timer again_;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/engine.cpp
+++ b/node/engine.cpp
@@ -5,10 +5,9 @@
 #include <cstdio>
 #include <utility>
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
-namespace qu = asterdrift::balancer;
 using boost::system::error_code;
 
 // A client counts from when it sent and until the answer's last byte has come; this much of its time is for
@@ -20,9 +19,9 @@
 constexpr double kFirstListWait = 1;  // s; a node that knows servers waits so long for newer word of them
 
 // Which outcomes prove that an attempt never ran.
-bool never_ran(qu::Outcome outcome) {
-  return outcome == qu::Outcome::kRejected || outcome == qu::Outcome::kDialFailed ||
-         outcome == qu::Outcome::kNotSent;
+bool never_ran(balancer::Outcome outcome) {
+  return outcome == balancer::Outcome::kRejected || outcome == balancer::Outcome::kDialFailed ||
+         outcome == balancer::Outcome::kNotSent;
 }
 
 boost::asio::steady_timer::time_point at(double seconds) {
@@ -46,7 +45,7 @@
       config_(config) {}
 
 void Engine::start() {
-  post(qu::Started{});
+  post(balancer::Started{});
   if (!config_.settings.must_watch) watch_();  // lists that are pushed come on the same stream
   if (!config_.known) return;
   take(*config_.known, true);
@@ -55,7 +54,7 @@
 }
 
 // The module is not re-entered: what its actions bring about at once waits here until they are all done.
-void Engine::post(qu::Event event) {
+void Engine::post(balancer::Event event) {
   events_.push_back(std::move(event));
   if (running_) return;
   struct Running {
@@ -63,16 +62,16 @@
     ~Running() { flag = false; }
     bool& flag;
   } const running(running_);
-  std::vector<qu::Action> actions;
+  std::vector<balancer::Action> actions;
   while (!events_.empty()) {
-    const qu::Event next = std::move(events_.front());
+    const balancer::Event next = std::move(events_.front());
     events_.pop_front();
     actions.clear();
     balancer_.handle(now(), next, actions);
-    for (const qu::Action& action : actions) {
+    for (const balancer::Action& action : actions) {
       std::visit([this](const auto& a) { run(a); }, action);
     }
-    if (const auto* end = std::get_if<qu::AttemptResult>(&next)) forget_if_done(end->id);
+    if (const auto* end = std::get_if<balancer::AttemptResult>(&next)) forget_if_done(end->id);
   }
 }
 
@@ -113,7 +112,7 @@
   const std::shared_ptr<Live> live = find(id);
   if (live == nullptr || !live->reply) return;
   close(*live);
-  post(qu::RequestGone{id});
+  post(balancer::RequestGone{id});
   forget_if_done(id);
 }
 
@@ -135,7 +134,7 @@
   const bool may_have_run = std::any_of(live->tries.begin(), live->tries.end(),
                                         [](const Try& attempt) { return attempt.may_have_run; });
   reply(may_have_run ? Answer{504, 0, {}, {}, {}, {}, {}} : refusal());
-  post(qu::RequestGone{id});
+  post(balancer::RequestGone{id});
   forget_if_done(id);
 }
 
@@ -153,8 +152,8 @@
 }
 
 void Engine::take(const ServerList& list, bool whole) {
-  qu::MembershipUpdate update;
-  update.form = whole ? qu::MembershipUpdate::Form::kFull : qu::MembershipUpdate::Form::kChanges;
+  balancer::MembershipUpdate update;
+  update.form = whole ? balancer::MembershipUpdate::Form::kFull : balancer::MembershipUpdate::Form::kChanges;
   update.servers.reserve(list.servers.size());
   for (const ListedServer& server : list.servers) update.servers.push_back(server.facts);
   // The module hears of a drain before it hears of the sends that the drain has stopped. New servers are
@@ -162,12 +161,12 @@
   const std::vector<Upstream::Handle> stopped = upstream_.apply(list, whole);
   servers_known_ = upstream_.servers() > 0;
   post(std::move(update));
-  for (const Upstream::Handle& send : stopped) upstream_.stop(send, qu::Outcome::kNotSent);
+  for (const Upstream::Handle& send : stopped) upstream_.stop(send, balancer::Outcome::kNotSent);
 }
 
 void Engine::watch_failed() {
-  qu::MembershipUpdate update;
-  update.form = qu::MembershipUpdate::Form::kFailed;
+  balancer::MembershipUpdate update;
+  update.form = balancer::MembershipUpdate::Form::kFailed;
   post(update);
 }
 
@@ -214,10 +213,10 @@
   done.open = false;
   done.may_have_run = !never_ran(end.outcome);
   const double asked_at = std::max(done.sent_at, end.asked_at);
-  if (end.outcome == qu::Outcome::kDelivered) {
+  if (end.outcome == balancer::Outcome::kDelivered) {
     answer(*live, {200, 0, std::move(end.body), std::move(end.content_type), std::move(end.claim), {}, {}});
   }
-  post(qu::AttemptResult{id, attempt, end.outcome, now() - asked_at, !live->reply});
+  post(balancer::AttemptResult{id, attempt, end.outcome, now() - asked_at, !live->reply});
 }
 
 void Engine::begins(const std::string& id, int attempt, AnswerBegins&& begun) {
@@ -225,10 +224,10 @@
   if (live == nullptr || !live->reply) return begun.body->drop();
   const double asked_at = std::max(live->tries[static_cast<std::size_t>(attempt)].sent_at, begun.asked_at);
   answer(*live, {200, 0, {}, std::move(begun.content_type), {}, std::move(begun.body), begun.length});
-  post(qu::AnswerStarted{id, attempt, now() - asked_at});
+  post(balancer::AnswerStarted{id, attempt, now() - asked_at});
 }
 
-void Engine::run(const qu::Send& action) {
+void Engine::run(const balancer::Send& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr) return;
   const int attempt = static_cast<int>(live->tries.size());
@@ -239,49 +238,50 @@
   const bool on_its_way =
       std::any_of(live->tries.begin(), live->tries.end() - 1, [](const Try& t) { return t.open; });
   if (!forward->wanted() || forward->rest_begun || (forward->rest && on_its_way)) {
-    return ended(action.id, attempt, {qu::Outcome::kNotSent, {}, {}, {}, 0});
+    return ended(action.id, attempt, {balancer::Outcome::kNotSent, {}, {}, {}, 0});
   }
   Upstream::Handle handle = upstream_.start(
       action.server, forward, action.timeout, action.write_within,
       {[this, id = action.id, attempt](AttemptEnd&& end) { ended(id, attempt, std::move(end)); },
        [this, id = action.id, attempt](AnswerBegins&& begun) { begins(id, attempt, std::move(begun)); },
-       [this, id = action.id] { post(qu::BodyGone{id}); },
+       [this, id = action.id] { post(balancer::BodyGone{id}); },
        [this, id = action.id, attempt] {
-         post(qu::AttemptOut{id, attempt});
+         post(balancer::AttemptOut{id, attempt});
        }});
   live->tries[static_cast<std::size_t>(attempt)].handle = std::move(handle);
 }
 
-void Engine::run(const qu::Refuse& action) {
+void Engine::run(const balancer::Refuse& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr) return;
   answer(*live, {503, action.retry_after, {}, {}, {}, {}, {}});
   forget_if_done(action.id);
 }
 
-void Engine::run(const qu::Fail& action) {
+void Engine::run(const balancer::Fail& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr) return;
   answer(*live, {502, 0, {}, {}, {}, {}, {}});
   forget_if_done(action.id);
 }
 
-void Engine::run(const qu::Cancel& action) {
+void Engine::run(const balancer::Cancel& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr || action.attempt < 0) return;
   const auto attempt = static_cast<std::size_t>(action.attempt);
-  if (attempt < live->tries.size()) upstream_.stop(live->tries[attempt].handle, qu::Outcome::kCancelled);
+  if (attempt < live->tries.size())
+    upstream_.stop(live->tries[attempt].handle, balancer::Outcome::kCancelled);
 }
 
-void Engine::run(const qu::SetTimer& action) {
+void Engine::run(const balancer::SetTimer& action) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(io_, at(action.at));
   timer->async_wait([this, timer, token = action.token](const error_code& error) {
-    if (!error) post(qu::TimerFired{token});
+    if (!error) post(balancer::TimerFired{token});
   });
 }
 
-void Engine::run(const qu::WatchMembers&) { watch_(); }
+void Engine::run(const balancer::WatchMembers&) { watch_(); }
 
-void Engine::run(const qu::LogLine& action) { log_line(action.text); }
+void Engine::run(const balancer::LogLine& action) { log_line(action.text); }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/engine.h
+++ b/node/engine.h
@@ -17,11 +17,11 @@
 #include "node/config.h"
 #include "node/upstream.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 // A caller's request, read and found to be sound.
 struct Call {
-  asterdrift::balancer::Request facts;  // id and time_left are the engine's to fill in
+  balancer::Request facts;  // id and time_left are the engine's to fill in
   std::shared_ptr<Forward> forward;
   std::string client_id;
   double came_at = 0;          // on the steady clock
@@ -76,7 +76,7 @@
   std::size_t open() const { return open_; }
   void set_most_upstream_sockets(std::size_t sockets) { upstream_.set_most(sockets); }
   // What the module makes of its list now.
-  asterdrift::balancer::MembersView members() const { return balancer_.members(now()); }
+  balancer::MembersView members() const { return balancer_.members(now()); }
 
  private:
   struct Try {
@@ -94,14 +94,14 @@
   };
 
   void take(const ServerList& list, bool whole);
-  void post(asterdrift::balancer::Event event);
-  void run(const asterdrift::balancer::Send& action);
-  void run(const asterdrift::balancer::Refuse& action);
-  void run(const asterdrift::balancer::Fail& action);
-  void run(const asterdrift::balancer::Cancel& action);
-  void run(const asterdrift::balancer::SetTimer& action);
-  void run(const asterdrift::balancer::WatchMembers& action);
-  void run(const asterdrift::balancer::LogLine& action);
+  void post(balancer::Event event);
+  void run(const balancer::Send& action);
+  void run(const balancer::Refuse& action);
+  void run(const balancer::Fail& action);
+  void run(const balancer::Cancel& action);
+  void run(const balancer::SetTimer& action);
+  void run(const balancer::WatchMembers& action);
+  void run(const balancer::LogLine& action);
   std::shared_ptr<Live> find(const std::string& id) const;
   Reply close(Live& live);
   bool wanted(std::uint64_t request);
@@ -113,13 +113,13 @@
   void forget_if_done(const std::string& id);
 
   boost::asio::io_context& io_;
-  asterdrift::balancer::Balancer balancer_;
+  balancer::Balancer balancer_;
   Upstream upstream_;
   std::function<void()> watch_;
   const Config& config_;
   std::unordered_map<std::string, std::shared_ptr<Live>> live_;
   std::unordered_set<std::string> client_ids_;  // of all that is in live_
-  std::deque<asterdrift::balancer::Event> events_;
+  std::deque<balancer::Event> events_;
   bool running_ = false;
   std::uint64_t last_id_ = 0;
   std::size_t open_ = 0;
@@ -129,4 +129,4 @@
 // One line of the node's log.
 void log_line(const std::string& text);
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/intake.cpp
+++ b/node/intake.cpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <utility>
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace http = boost::beast::http;
@@ -110,12 +110,12 @@
   }
   // Guards the classes that are not safe: what servers take for safe, or can't tell from a repeat, runs
   // twice.
-  const asterdrift::balancer::RequestClass& facts = class_facts_[*request_class];
-  const bool safe = facts.effect == asterdrift::balancer::Effect::kSafe;
+  const balancer::RequestClass& facts = class_facts_[*request_class];
+  const bool safe = facts.effect == balancer::Effect::kSafe;
   if (head.method() != (safe ? http::verb::get : http::verb::post)) {
     throw BadRequest{400, "the method does not belong to the class"};
   }
-  if ((facts.effect == asterdrift::balancer::Effect::kKeyed) == head["Idempotency-Key"].empty()) {
+  if ((facts.effect == balancer::Effect::kKeyed) == head["Idempotency-Key"].empty()) {
     throw BadRequest{400, "Idempotency-Key does not belong to the class"};
   }
   const std::string_view length = view(head[http::field::content_length]);
@@ -136,4 +136,4 @@
   return out;
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/intake.h
+++ b/node/intake.h
@@ -12,7 +12,7 @@
 #include "node/config.h"
 #include "node/engine.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 // What a client is told that sent what can't be used; it reaches no server.
 struct BadRequest {
@@ -36,10 +36,10 @@
 
  private:
   std::unordered_map<std::string, std::size_t> classes_, tenants_;
-  std::vector<asterdrift::balancer::RequestClass> class_facts_;
+  std::vector<balancer::RequestClass> class_facts_;
 };
 
 // Whether the bytes hold a header line that goes on in the next one, before the head's end.
 bool folded(std::string_view bytes);
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/list_reader.cpp
+++ b/node/list_reader.cpp
@@ -6,7 +6,7 @@
 
 #include "json/read.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace json = asterdrift::json;
@@ -134,4 +134,4 @@
   hosts_next_ = seen_ = false;
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/list_reader.h
+++ b/node/list_reader.h
@@ -10,7 +10,7 @@
 
 #include "node/config.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class ListReader {
  public:
@@ -57,4 +57,4 @@
   ServerList list_;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <utility>
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace asio = boost::asio;
@@ -731,4 +731,4 @@
   retry_.cancel();
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/listener.h
+++ b/node/listener.h
@@ -15,7 +15,7 @@
 #include "node/metrics.h"
 #include "node/stream.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class Listener {
  public:
@@ -81,4 +81,4 @@
   boost::asio::steady_timer retry_, sweep_;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -1,4 +1,4 @@
-// nettlestand: one node of the load balancer. See README.md for its configuration.
+// load-balancer-node: one node of the load balancer. See README.md for its configuration.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -29,7 +29,7 @@
 namespace {
 
 namespace asio = boost::asio;
-namespace ns = nettlestand;
+namespace ns = asterdrift::node;
 
 constexpr std::size_t kOtherSockets = 40;  // the event loop's, standard ones, discovery, operators, headroom
 constexpr std::size_t kLeastOther = 20;    // of these, where the node's processes share a small limit
@@ -162,7 +162,7 @@
       try {
         listen();
       } catch (const std::exception& problem) {
-        std::fprintf(stderr, "nettlestand: %s\n", problem.what());
+        std::fprintf(stderr, "load-balancer-node: %s\n", problem.what());
         std::_Exit(kCannotStart);
       }
     }
@@ -281,9 +281,9 @@
     std::_Exit(0);                                  // what is still open ends with the process
   } catch (const std::invalid_argument& problem) {  // settings that the module can't use
     failure = kBadConfig;
-    std::fprintf(stderr, "nettlestand: %s\n", problem.what());
+    std::fprintf(stderr, "load-balancer-node: %s\n", problem.what());
   } catch (const std::exception& problem) {
-    std::fprintf(stderr, "nettlestand: %s\n", problem.what());
+    std::fprintf(stderr, "load-balancer-node: %s\n", problem.what());
   }
   return failure;
 }
--- a/node/management.cpp
+++ b/node/management.cpp
@@ -14,7 +14,7 @@
 #include "node/config.h"
 #include "node/engine.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace asio = boost::asio;
@@ -213,4 +213,4 @@
   });
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/management.h
+++ b/node/management.h
@@ -10,7 +10,7 @@
 #include <memory>
 #include <string>
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class Management {
  public:
@@ -43,4 +43,4 @@
   boost::asio::steady_timer pause_, sweep_;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/metrics.cpp
+++ b/node/metrics.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 const std::string kPrefix = "app.";
@@ -42,4 +42,4 @@
   return out;
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/metrics.h
+++ b/node/metrics.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class Metrics {
  public:
@@ -33,4 +33,4 @@
   std::uint64_t attempts_ = 0;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/siblings.cpp
+++ b/node/siblings.cpp
@@ -4,7 +4,7 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 constexpr int kMostProcesses = 8;
@@ -61,4 +61,4 @@
   return count;
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/siblings.h
+++ b/node/siblings.h
@@ -7,7 +7,7 @@
 #include <cstddef>
 #include <string>
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 class Siblings {
  public:
@@ -35,4 +35,4 @@
   int file_ = -1, slot_ = 0;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/stream.cpp
+++ b/node/stream.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <utility>
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 constexpr std::size_t kRoom = 64 * 1024;       // bytes
@@ -54,4 +54,4 @@
   return size + bytes + "\r\n";
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/stream.h
+++ b/node/stream.h
@@ -14,7 +14,7 @@
 
 #include "node/budget.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 // Bodies up to this size are kept whole, so that they can be sent again or wait for a further attempt's
 // answer; larger ones pass through.
@@ -93,4 +93,4 @@
   };
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -14,13 +14,13 @@
 
 #include "node/engine.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using asio::ip::tcp;
-using asterdrift::balancer::Outcome;
+using balancer::Outcome;
 using boost::system::error_code;
 
 constexpr std::size_t kHeadLimit = 16 * 1024;  // bytes, of an answer's head and of a chunk's
@@ -573,7 +573,7 @@
   std::vector<Handle> stopped;
   ++lists_;
   for (const ListedServer& told : list.servers) {
-    if (told.facts.state != asterdrift::balancer::ServerState::kReady) continue;
+    if (told.facts.state != balancer::ServerState::kReady) continue;
     Server& server = servers_[told.facts.address];
     // Another process, or the same at another address: what is parked or on its way leads nowhere.
     if (server.dial != told.dial || server.started != told.facts.started) {
@@ -586,7 +586,7 @@
     server.listed = lists_;
   }
   for (const ListedServer& told : list.servers) {
-    if (told.facts.state == asterdrift::balancer::ServerState::kReady) continue;
+    if (told.facts.state == balancer::ServerState::kReady) continue;
     const auto it = servers_.find(told.facts.address);
     if (it != servers_.end()) remove(it, stopped);
   }
@@ -599,4 +599,4 @@
   return stopped;
 }
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/node/upstream.h
+++ b/node/upstream.h
@@ -20,7 +20,7 @@
 #include "node/metrics.h"
 #include "node/stream.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 
 // A request as it goes on to a server.
 struct Forward {
@@ -35,7 +35,7 @@
 };
 
 struct AttemptEnd {
-  asterdrift::balancer::Outcome outcome = asterdrift::balancer::Outcome::kUnknown;
+  balancer::Outcome outcome = balancer::Outcome::kUnknown;
   std::string body, content_type;  // of a delivered answer, unless it has passed as a stream
   Claim claim;                     // on the bytes of that body
   double asked_at = 0;             // when the request was out, where that took the client's time; else 0
@@ -73,7 +73,7 @@
                double write_within, Watcher watcher);
 
   // Stops waiting for an attempt; it ends so unless it has ended.
-  void stop(const Handle& attempt, asterdrift::balancer::Outcome outcome);
+  void stop(const Handle& attempt, balancer::Outcome outcome);
 
   // Keeps an attempt from its server: ends it as not sent unless it has been written whole, or is being
   // answered.
@@ -127,4 +127,4 @@
   boost::asio::steady_timer sweep_;
 };
 
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/scale/hollow_node.cpp
+++ b/scale/hollow_node.cpp
@@ -7,20 +7,20 @@
 
 namespace qu = asterdrift::balancer;
 
-qu::MembershipUpdate update_of(const nettlestand::ServerList& list) {
+qu::MembershipUpdate update_of(const asterdrift::node::ServerList& list) {
   qu::MembershipUpdate out;
   out.form = list.whole ? qu::MembershipUpdate::Form::kFull : qu::MembershipUpdate::Form::kChanges;
-  for (const nettlestand::ListedServer& server : list.servers) out.servers.push_back(server.facts);
+  for (const asterdrift::node::ListedServer& server : list.servers) out.servers.push_back(server.facts);
   return out;
 }
 
 HollowNode::HollowNode(boost::asio::io_context& io, const std::string& config,
                        std::function<void(HollowNode&)> acted)
     : io_(io),
-      config_(nettlestand::read_config(config)),
+      config_(asterdrift::node::read_config(config)),
       balancer_(config_.settings, config_.seed),
       discovery_(io, config_,
-                 {[this](const nettlestand::ServerList& list) { take(list); },
+                 {[this](const asterdrift::node::ServerList& list) { take(list); },
                   [this] {
                     counts_.failures += 1;
                     qu::MembershipUpdate failed;
@@ -34,7 +34,7 @@
   if (!config_.settings.must_watch) discovery_.watch();
 }
 
-void HollowNode::take(const nettlestand::ServerList& list) {
+void HollowNode::take(const asterdrift::node::ServerList& list) {
   (list.whole ? counts_.whole_lists : counts_.changes) += 1;
   seq_ = list.seq;
   post(update_of(list));
@@ -43,7 +43,7 @@
 
 void HollowNode::post(const qu::Event& event) {
   std::vector<qu::Action> actions;
-  balancer_.handle(nettlestand::now(), event, actions);
+  balancer_.handle(asterdrift::node::now(), event, actions);
   for (const qu::Action& action : actions) {
     if (std::holds_alternative<qu::WatchMembers>(action)) {
       counts_.watches += 1;
@@ -51,7 +51,7 @@
     } else if (const auto* timer = std::get_if<qu::SetTimer>(&action)) {
       const auto wait = std::make_shared<boost::asio::steady_timer>(io_);
       wait->expires_after(std::chrono::nanoseconds(
-          static_cast<std::int64_t>(std::max(0.0, timer->at - nettlestand::now()) * 1e9)));
+          static_cast<std::int64_t>(std::max(0.0, timer->at - asterdrift::node::now()) * 1e9)));
       wait->async_wait([this, wait, token = timer->token](const boost::system::error_code& error) {
         if (!error) post(qu::TimerFired{token});
       });
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -28,19 +28,19 @@
   void start();
   const Counts& counts() const { return counts_; }
   std::uint64_t seq() const { return seq_; }  // of the last list
-  bool knows_servers() const { return balancer_.members(nettlestand::now()).listed > 0; }
+  bool knows_servers() const { return balancer_.members(asterdrift::node::now()).listed > 0; }
 
   // One call, answered at once. Returns the server of its first attempt; empty where it was refused.
   std::string call();
 
  private:
   void post(const asterdrift::balancer::Event& event);
-  void take(const nettlestand::ServerList& list);
+  void take(const asterdrift::node::ServerList& list);
 
   boost::asio::io_context& io_;
-  nettlestand::Config config_;
+  asterdrift::node::Config config_;
   asterdrift::balancer::Balancer balancer_;
-  nettlestand::Discovery discovery_;
+  asterdrift::node::Discovery discovery_;
   std::function<void(HollowNode&)> acted_;
   Counts counts_;
   std::uint64_t seq_ = 0, calls_ = 0;
@@ -48,6 +48,6 @@
 };
 
 // What the module is told of a list.
-asterdrift::balancer::MembershipUpdate update_of(const nettlestand::ServerList& list);
+asterdrift::balancer::MembershipUpdate update_of(const asterdrift::node::ServerList& list);
 
 }  // namespace scale
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -5,7 +5,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 // A server whose connections do not come up before `open` has been called.
@@ -522,4 +522,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/list_reader_test.cpp
+++ b/tests/list_reader_test.cpp
@@ -12,7 +12,7 @@
 #include "node/ask_budget.h"
 #include "node/ask_limits.h"
 
-namespace nettlestand {
+namespace asterdrift::node {
 namespace {
 
 using asterdrift::balancer::ServerState;
@@ -267,4 +267,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand
+}  // namespace asterdrift::node
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -3,7 +3,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 #ifndef __SANITIZE_ADDRESS__
@@ -204,4 +204,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -21,7 +21,7 @@
 #include <utility>
 #include <vector>
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 
 constexpr int kPatience = 15000;  // ms
 
@@ -304,4 +304,4 @@
   int log_ = -1;
 };
 
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -4,7 +4,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 TEST(Node, PassesRequestsOnUnchangedAndKeepsConnections) {
@@ -618,7 +618,7 @@
     EXPECT_EQ(node.exit_code(), 2);
     const std::string& log = node.log("");
     EXPECT_EQ(log.find('\n'), log.size() - 1) << log;
-    EXPECT_TRUE(has(log, "nettlestand: ")) << log;
+    EXPECT_TRUE(has(log, "load-balancer-node: ")) << log;
   }
   std::string taken = good;
   taken.replace(taken.find("127.0.0.1:0"), 11, "127.0.0.1:" + std::to_string(w.servers[0].port()));
@@ -776,4 +776,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/node_world.h
+++ b/tests/node_world.h
@@ -12,7 +12,7 @@
 
 #include "node_harness.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 
 inline bool has(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
@@ -199,4 +199,4 @@
                      "\"discovery\":\"127.0.0.1:" + std::to_string(discovery.port()));
 }
 
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -3,7 +3,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 const std::string kOperators = R"("management":"127.0.0.1:0",)";
@@ -93,7 +93,7 @@
     w.more = R"("management":")" + address + "\",";
     Program node(w.config());
     EXPECT_EQ(node.exit_code(), code);
-    EXPECT_TRUE(has(node.log(""), "nettlestand: ")) << node.log("");
+    EXPECT_TRUE(has(node.log(""), "load-balancer-node: ")) << node.log("");
   }
 }
 
@@ -173,4 +173,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/replacement_test.cpp
+++ b/tests/replacement_test.cpp
@@ -6,7 +6,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 using Environment = std::vector<std::pair<std::string, std::string>>;
@@ -225,4 +225,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -5,7 +5,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 constexpr std::size_t kMega = 1024 * 1024;
@@ -357,4 +357,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -5,7 +5,7 @@
 
 #include "node_world.h"
 
-namespace nettlestand::testing {
+namespace asterdrift::node::testing {
 namespace {
 
 // ---------------------------------------------------------------- a client that has gone
@@ -328,4 +328,4 @@
 }
 
 }  // namespace
-}  // namespace nettlestand::testing
+}  // namespace asterdrift::node::testing
