--- a/adapter/simulator_adapter.cpp
+++ b/adapter/simulator_adapter.cpp
@@ -24,31 +24,31 @@
 namespace qu = asterdrift::balancer;
 
 qu::Outcome read_outcome(std::string_view name) {
-  if (name == "delivered") return qu::Outcome::kDelivered;
-  if (name == "app_error") return qu::Outcome::kError;
+  if (name == "delivered") return qu::Outcome::kSuccess;
+  if (name == "app_error") return qu::Outcome::kServerError;
   if (name == "shed") return qu::Outcome::kRejected;
   if (name == "expired") return qu::Outcome::kTimedOut;
-  if (name == "dial_failed") return qu::Outcome::kDialFailed;
-  if (name == "dropped") return qu::Outcome::kReset;
+  if (name == "dial_failed") return qu::Outcome::kConnectFailed;
+  if (name == "dropped") return qu::Outcome::kConnectionReset;
   if (name == "revoked") return qu::Outcome::kCancelled;
   if (name == "unused") return qu::Outcome::kNotSent;
   return qu::Outcome::kUnknown;
 }
 
-qu::Server read_server(const Json& in) {
-  qu::Server out;
+qu::Endpoint read_server(const Json& in) {
+  qu::Endpoint out;
   out.address = text(in, "server");
   out.zone = whole_or(in, "rackZone", 0);
   out.cell = whole_or(in, "pack", 0);
   out.weight = number_or(in, "units", 1);
-  out.started = number_or(in, "since", 0);
+  out.started_at = number_or(in, "since", 0);
   const std::string_view mode = text(in, "mode");
   if (mode == "Ready") {
-    out.state = qu::ServerState::kReady;
+    out.state = qu::EndpointState::kReady;
   } else if (mode == "Terminating") {
-    out.state = qu::ServerState::kDraining;
+    out.state = qu::EndpointState::kDraining;
   } else if (mode == "Gone") {
-    out.state = qu::ServerState::kGone;
+    out.state = qu::EndpointState::kRemoved;
   } else {
     wrong("mode", "Ready, Terminating or Gone");
   }
@@ -64,8 +64,8 @@
   out.request_class = index_or_zero(in, "profile");
   out.time_left = number(in, "timeLeft");
   const int opts = whole_or(in, "opts", 0);
-  if ((opts & kHintValid) != 0 && find(in, "cost") != nullptr) out.work = number(in, "cost");
-  out.is_repeat = (opts & kClientRepeats) != 0;
+  if ((opts & kHintValid) != 0 && find(in, "cost") != nullptr) out.announced_work = number(in, "cost");
+  out.is_client_retry = (opts & kClientRepeats) != 0;
   return out;
 }
 
@@ -86,25 +86,25 @@
     out.Key(name);
     out.Double(value);
   }
-  void operator()(const qu::Send& a) const {
+  void operator()(const qu::SendAttempt& a) const {
     start("CALL_OUT");
     field("txn", a.id);
-    field("server", a.server);
+    field("server", a.endpoint);
     field("patience", a.timeout);
     out.EndObject();
   }
-  void operator()(const qu::Refuse& a) const {
+  void operator()(const qu::RejectRequest& a) const {
     start("SAY_NO");
     field("txn", a.id);
     if (a.retry_after > 0) field("notBeforeFor", a.retry_after);
     out.EndObject();
   }
-  void operator()(const qu::Fail& a) const {
+  void operator()(const qu::FailRequest& a) const {
     start("ERROR");
     field("txn", a.id);
     out.EndObject();
   }
-  void operator()(const qu::Cancel& a) const {
+  void operator()(const qu::CancelAttempt& a) const {
     start("ABANDON");
     field("txn", a.id);
     out.Key("try");
@@ -118,7 +118,7 @@
     out.Uint64(a.token);
     out.EndObject();
   }
-  void operator()(const qu::WatchMembers&) const {
+  void operator()(const qu::WatchEndpoints&) const {
     start("TAIL");
     out.Key("want");
     out.Bool(true);
@@ -203,7 +203,7 @@
   }
 
   void read_table(const Json& item) {
-    std::vector<qu::Server> servers;
+    std::vector<qu::Endpoint> servers;
     for (const Json& entry : array(item, "nodesList").GetArray()) servers.push_back(read_server(entry));
     tables_[whole(item, "sheet")] = std::move(servers);
   }
@@ -216,35 +216,35 @@
                                flag(item, "doneFlag")};
     }
     if (kind == "FIRED") return qu::TimerFired{token(item, "keyBack")};
-    if (kind == "GONE") return qu::RequestGone{std::string(text(item, "txn"))};
+    if (kind == "GONE") return qu::RequestAborted{std::string(text(item, "txn"))};
     if (kind == "DIRECTORY_UPDATE") return read_update(item);
     if (kind == "ACK_FIRST") {
-      return qu::AnswerStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
-                               number_or(item, "lag", 0)};
+      return qu::ResponseStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
+                                 number_or(item, "lag", 0)};
     }
     return std::nullopt;  // STATUS_BACK, MEMO and kinds of later wires: nothing here asks for them
   }
 
-  qu::MembershipUpdate read_update(const Json& item) const {
+  qu::EndpointUpdate read_update(const Json& item) const {
     const std::string_view form = text(item, "form");
-    qu::MembershipUpdate out;
+    qu::EndpointUpdate out;
     if (form == "X") {
-      out.form = qu::MembershipUpdate::Form::kFailed;
+      out.form = qu::EndpointUpdate::Form::kWatchFailed;
       return out;
     }
     if (form == "D") {
-      out.form = qu::MembershipUpdate::Form::kChanges;
+      out.form = qu::EndpointUpdate::Form::kIncremental;
     } else if (form != "F" && form != "C") {
       wrong("form", "D, F, C or X");
     }
     const auto table = tables_.find(whole(item, "sheet"));
     if (table == tables_.end()) wrong("sheet", "the number of a list that was sent");
-    out.servers = table->second;
+    out.endpoints = table->second;
     return out;
   }
 
   std::map<int, std::unique_ptr<qu::Balancer>> balancers_;
-  std::map<int, std::vector<qu::Server>> tables_;  // the numbered lists, shared by the whole process
+  std::map<int, std::vector<qu::Endpoint>> tables_;  // the numbered lists, shared by the whole process
   std::vector<qu::Action> actions_;
   rapidjson::StringBuffer buffer_;
   Writer writer_;
--- /dev/null
+++ b/include/asterdrift/balancer/events.h
@@ -0,0 +1,106 @@
+// What a host tells a Balancer. Hosts report events in the order in which they happen.
+//
+// All durations are in seconds and all times are seconds on the host's clock.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+namespace asterdrift::balancer {
+
+// The replica starts: the first event, so that it can ask for what it needs.
+struct Started {};
+
+// A downstream request needs an endpoint. `id` is unique among requests that have not ended.
+struct Request {
+  std::string id;
+  std::size_t tenant = 0;                // index into Settings::tenants
+  std::size_t request_class = 0;         // index into Settings::classes
+  double time_left = 0;                  // s until the client gives up
+  std::optional<double> announced_work;  // s on a standard core
+  bool is_client_retry = false;          // the client marked it as a retry of its own
+  bool body_arriving = false;  // its body is incomplete; RequestBodySent tells when a server has all of it
+};
+
+// How an attempt ended.
+enum class Outcome {
+  kSuccess,          // answered; the response is the client's
+  kServerError,      // the server answered with an error
+  kRejected,         // the server is full or draining and has not begun it
+  kTimedOut,         // no response in time
+  kConnectFailed,    // no connection was established
+  kConnectionReset,  // the connection broke while the attempt was out
+  kCancelled,        // withdrawn by CancelAttempt
+  kNotSent,          // never left this replica
+  kUnknown           // anything else: it may have run
+};
+
+// A streamed response has begun; its client owns it from here.
+struct ResponseStarted {
+  std::string id;
+  int attempt = 0;
+  double elapsed = 0;  // s since it was sent
+};
+
+// The last byte of a request whose body was arriving has gone out on an attempt: its server can begin, and
+// the client's time counts from here.
+struct RequestBodySent {
+  std::string id;
+  int attempt = 0;
+};
+
+// A part of the request's body has gone out and is not buffered: it cannot be sent again.
+struct RequestBodyConsumed {
+  std::string id;
+};
+
+// An attempt has ended. Each SendAttempt gets exactly one.
+struct AttemptResult {
+  std::string id;
+  int attempt = 0;
+  Outcome outcome = Outcome::kUnknown;
+  double elapsed = 0;         // s since it was sent
+  bool request_done = false;  // the request needs no further response
+};
+
+// The client left, or its time is up; no response is owed any more.
+struct RequestAborted {
+  std::string id;
+};
+
+enum class EndpointState { kReady, kDraining, kRemoved };
+
+// One server process, as discovery lists it.
+struct Endpoint {
+  std::string address;  // identifies the endpoint at every replica
+  int zone = 0;
+  int cell = 0;
+  double weight = 1;      // capacity relative to other endpoints
+  double started_at = 0;  // when the process last started; 0: long ago
+  EndpointState state = EndpointState::kReady;
+};
+
+// The endpoint list has changed, or watching it has failed.
+struct EndpointUpdate {
+  enum class Form {
+    kIncremental,  // only what changed
+    kSnapshot,     // the complete list: what it lacks has been removed
+    kWatchFailed   // polling failed or the watch broke; the known endpoints stay
+  };
+  Form form = Form::kSnapshot;
+  std::vector<Endpoint> endpoints;
+};
+
+// A timer requested by SetTimer has expired.
+struct TimerFired {
+  std::uint64_t token = 0;
+};
+
+using Event = std::variant<Started, Request, ResponseStarted, RequestBodySent, RequestBodyConsumed,
+                           AttemptResult, RequestAborted, EndpointUpdate, TimerFired>;
+
+}  // namespace asterdrift::balancer
--- a/json/read.cpp
+++ b/json/read.cpp
@@ -90,17 +90,17 @@
 
 balancer::RequestClass read_class(const Json& in) {
   using balancer::DedupScope;
-  using balancer::Effect;
+  using balancer::Idempotency;
   balancer::RequestClass out;
-  out.aim = number(in, "aim");
-  out.aim_stretch = number_or(in, "aimStretch", 0);
-  out.give_up = number(in, "giveUp");
-  out.late_worth = number_or(in, "lateWorth", 0);
+  out.latency_objective = number(in, "aim");
+  out.latency_objective_per_work = number_or(in, "aimStretch", 0);
+  out.timeout = number(in, "giveUp");
+  out.late_priority_weight = number_or(in, "lateWorth", 0);
   const std::string_view effect = text(in, "effect");
   if (effect == "safe") {
-    out.effect = Effect::kSafe;
+    out.idempotency = Idempotency::kIdempotent;
   } else if (effect == "keyed") {
-    out.effect = Effect::kKeyed;
+    out.idempotency = Idempotency::kIdempotencyKey;
     const std::string_view group = text(in, "group");
     if (group == "all") {
       out.dedup_scope = DedupScope::kAll;
@@ -113,7 +113,7 @@
     }
     out.dedup_window = number_or(in, "dedupWindow", 0);
   } else if (effect == "unsafe") {
-    out.effect = Effect::kUnsafe;
+    out.idempotency = Idempotency::kNotIdempotent;
   } else {
     throw std::invalid_argument("categories[].effect: '" + std::string(effect) + "' is unknown");
   }
@@ -124,34 +124,34 @@
 
 balancer::Settings read_settings(const Json& in) {
   balancer::Settings out;
-  out.copy_index = whole(in, "position");
-  out.copy_count = whole(in, "peersTotal");
+  out.replica_index = whole(in, "position");
+  out.replica_count = whole(in, "peersTotal");
   out.tier = whole_or(in, "stage", 0);
   out.zone = whole_or(in, "zone", 0);
-  out.tick = number_or(in, "granularity", 0);
+  out.clock_granularity = number_or(in, "granularity", 0);
   for (const Json& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
   if (find(in, "realms") != nullptr) {
     for (const Json& item : array(in, "realms").GetArray()) {
       balancer::Tenant tenant;
-      if (find(item, "allowancePerS") != nullptr) tenant.allowance = number(item, "allowancePerS");
+      if (find(item, "allowancePerS") != nullptr) tenant.quota = number(item, "allowancePerS");
       out.tenants.push_back(tenant);
     }
   }
-  out.over_share_worth = number_or(in, "overShareWorth", 1);
+  out.over_quota_priority_weight = number_or(in, "overShareWorth", 1);
   const Json& bounds = need(in, "bounds");
   out.max_attempts = whole_or(bounds, "maxAttempts", 1);
-  out.second_copies = flag(bounds, "secondCopies");
-  out.can_cancel = flag(bounds, "cancel");
+  out.hedging_allowed = flag(bounds, "secondCopies");
+  out.cancel_allowed = flag(bounds, "cancel");
   out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
-  out.must_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
+  out.requires_watch = find(in, "registryMode") != nullptr && text(in, "registryMode") == "subscribe";
   if (const Json* rules = find(in, "rules")) {
-    out.ask_within = number_or(*rules, "askWithin", 0);
-    out.start_capacity = number_or(*rules, "startCapacity", 1);
-    out.ramp_time = number_or(*rules, "rampTime", 0);
-    out.tip_multiple = number_or(*rules, "tipMultiple", out.tip_multiple);
-    out.tip_after = number_or(*rules, "tipAfter", out.tip_after);
+    out.poll_within = number_or(*rules, "askWithin", 0);
+    out.slow_start_capacity = number_or(*rules, "startCapacity", 1);
+    out.slow_start_duration = number_or(*rules, "rampTime", 0);
+    out.overload_multiple = number_or(*rules, "tipMultiple", out.overload_multiple);
+    out.overload_window = number_or(*rules, "tipAfter", out.overload_window);
   }
-  if (const Json* fees = find(in, "fees")) out.cross_zone_price = number_or(*fees, "crossZone", 0);
+  if (const Json* fees = find(in, "fees")) out.cross_zone_cost = number_or(*fees, "crossZone", 0);
   return out;
 }
 
--- a/node/config.cpp
+++ b/node/config.cpp
@@ -102,19 +102,19 @@
   if (out.facts.address.empty()) json::wrong("host", "a name");
   const std::string_view health = json::text(in, "health");
   if (health == "active") {
-    out.facts.state = balancer::ServerState::kReady;
+    out.facts.state = balancer::EndpointState::kReady;
   } else if (health == "leaving") {
-    out.facts.state = balancer::ServerState::kDraining;
+    out.facts.state = balancer::EndpointState::kDraining;
   } else if (health == "left") {
-    out.facts.state = balancer::ServerState::kGone;
+    out.facts.state = balancer::EndpointState::kRemoved;
   } else {
     json::wrong("health", "active, leaving or left");
   }
-  if (out.facts.state != balancer::ServerState::kGone) out.dial = read_endpoint(json::text(in, "dial"));
+  if (out.facts.state != balancer::EndpointState::kRemoved) out.dial = read_endpoint(json::text(in, "dial"));
   if (json::find(in, "site") != nullptr) out.facts.zone = zone_of(json::text(in, "site"), zones);
   out.facts.cell = json::whole_or(in, "block", 0);
   out.facts.weight = json::number_or(in, "share", 1);
-  out.facts.started = steady_of_unix_ms(json::number_or(in, "born_ms", 0));
+  out.facts.started_at = steady_of_unix_ms(json::number_or(in, "born_ms", 0));
   return out;
 }
 
--- a/node/config.h
+++ b/node/config.h
@@ -22,7 +22,7 @@
 double steady_of_unix_ms(double unix_ms);
 
 struct ListedServer {
-  balancer::Server facts;  // its address is the name that is the same at every node
+  balancer::Endpoint facts;  // its address is the name that is the same at every node
   boost::asio::ip::tcp::endpoint dial;
 };
 
--- a/node/discovery.cpp
+++ b/node/discovery.cpp
@@ -32,7 +32,7 @@
  public:
   explicit Watch(Discovery& owner)
       : owner_(owner),
-        pushed_(!owner.config_.settings.must_watch),
+        pushed_(!owner.config_.settings.requires_watch),
         asked_whole_(owner.asks_whole()),
         stream_(owner.io_),
         reader_(owner.config_.zones, most_servers(owner.config_.memory_mb)) {
@@ -199,7 +199,7 @@
 
 // Jittered: all nodes lose it at once and must not come back at once.
 double Discovery::retry_wait() {
-  const double wait = ask_limits::wait(!config_.settings.must_watch) * (0.5 + unit() / 2);
+  const double wait = ask_limits::wait(!config_.settings.requires_watch) * (0.5 + unit() / 2);
   return std::max(wait, budget_.wait(now()));
 }
 
@@ -250,7 +250,7 @@
   }
   current_.reset();
   if (moving_) return;
-  if (!config_.settings.must_watch) later(retry_wait(), [this] { start(); });
+  if (!config_.settings.requires_watch) later(retry_wait(), [this] { start(); });
   listeners_.failed();
 }
 
--- a/node/engine.cpp
+++ b/node/engine.cpp
@@ -20,7 +20,7 @@
 
 // Which outcomes prove that an attempt never ran.
 bool never_ran(balancer::Outcome outcome) {
-  return outcome == balancer::Outcome::kRejected || outcome == balancer::Outcome::kDialFailed ||
+  return outcome == balancer::Outcome::kRejected || outcome == balancer::Outcome::kConnectFailed ||
          outcome == balancer::Outcome::kNotSent;
 }
 
@@ -46,7 +46,7 @@
 
 void Engine::start() {
   post(balancer::Started{});
-  if (!config_.settings.must_watch) watch_();  // lists that are pushed come on the same stream
+  if (!config_.settings.requires_watch) watch_();  // lists that are pushed come on the same stream
   if (!config_.known) return;
   take(*config_.known, true);
   const auto timer = std::make_shared<boost::asio::steady_timer>(io_, at(now() + kFirstListWait));
@@ -80,7 +80,7 @@
   const std::string id = std::to_string(number);
   const double limit = call.came_at + call.timeout;
   call.facts.id = id;
-  call.facts.arriving = call.forward->rest != nullptr;
+  call.facts.body_arriving = call.forward->rest != nullptr;
   call.facts.time_left = limit - reserve(call) - now();
   client_ids_.insert(call.client_id);
   call.forward->wanted = [this, number] { return wanted(number); };
@@ -112,7 +112,7 @@
   const std::shared_ptr<Live> live = find(id);
   if (live == nullptr || !live->reply) return;
   close(*live);
-  post(balancer::RequestGone{id});
+  post(balancer::RequestAborted{id});
   forget_if_done(id);
 }
 
@@ -134,7 +134,7 @@
   const bool may_have_run = std::any_of(live->tries.begin(), live->tries.end(),
                                         [](const Try& attempt) { return attempt.may_have_run; });
   reply(may_have_run ? Answer{504, 0, {}, {}, {}, {}, {}} : refusal());
-  post(balancer::RequestGone{id});
+  post(balancer::RequestAborted{id});
   forget_if_done(id);
 }
 
@@ -152,10 +152,11 @@
 }
 
 void Engine::take(const ServerList& list, bool whole) {
-  balancer::MembershipUpdate update;
-  update.form = whole ? balancer::MembershipUpdate::Form::kFull : balancer::MembershipUpdate::Form::kChanges;
-  update.servers.reserve(list.servers.size());
-  for (const ListedServer& server : list.servers) update.servers.push_back(server.facts);
+  balancer::EndpointUpdate update;
+  update.form =
+      whole ? balancer::EndpointUpdate::Form::kSnapshot : balancer::EndpointUpdate::Form::kIncremental;
+  update.endpoints.reserve(list.servers.size());
+  for (const ListedServer& server : list.servers) update.endpoints.push_back(server.facts);
   // The module hears of a drain before it hears of the sends that the drain has stopped. New servers are
   // there before it can choose them.
   const std::vector<Upstream::Handle> stopped = upstream_.apply(list, whole);
@@ -165,8 +166,8 @@
 }
 
 void Engine::watch_failed() {
-  balancer::MembershipUpdate update;
-  update.form = balancer::MembershipUpdate::Form::kFailed;
+  balancer::EndpointUpdate update;
+  update.form = balancer::EndpointUpdate::Form::kWatchFailed;
   post(update);
 }
 
@@ -213,7 +214,7 @@
   done.open = false;
   done.may_have_run = !never_ran(end.outcome);
   const double asked_at = std::max(done.sent_at, end.asked_at);
-  if (end.outcome == balancer::Outcome::kDelivered) {
+  if (end.outcome == balancer::Outcome::kSuccess) {
     answer(*live, {200, 0, std::move(end.body), std::move(end.content_type), std::move(end.claim), {}, {}});
   }
   post(balancer::AttemptResult{id, attempt, end.outcome, now() - asked_at, !live->reply});
@@ -224,10 +225,10 @@
   if (live == nullptr || !live->reply) return begun.body->drop();
   const double asked_at = std::max(live->tries[static_cast<std::size_t>(attempt)].sent_at, begun.asked_at);
   answer(*live, {200, 0, {}, std::move(begun.content_type), {}, std::move(begun.body), begun.length});
-  post(balancer::AnswerStarted{id, attempt, now() - asked_at});
+  post(balancer::ResponseStarted{id, attempt, now() - asked_at});
 }
 
-void Engine::run(const balancer::Send& action) {
+void Engine::run(const balancer::SendAttempt& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr) return;
   const int attempt = static_cast<int>(live->tries.size());
@@ -241,31 +242,31 @@
     return ended(action.id, attempt, {balancer::Outcome::kNotSent, {}, {}, {}, 0});
   }
   Upstream::Handle handle = upstream_.start(
-      action.server, forward, action.timeout, action.write_within,
+      action.endpoint, forward, action.timeout, action.write_within,
       {[this, id = action.id, attempt](AttemptEnd&& end) { ended(id, attempt, std::move(end)); },
        [this, id = action.id, attempt](AnswerBegins&& begun) { begins(id, attempt, std::move(begun)); },
-       [this, id = action.id] { post(balancer::BodyGone{id}); },
+       [this, id = action.id] { post(balancer::RequestBodyConsumed{id}); },
        [this, id = action.id, attempt] {
-         post(balancer::AttemptOut{id, attempt});
+         post(balancer::RequestBodySent{id, attempt});
        }});
   live->tries[static_cast<std::size_t>(attempt)].handle = std::move(handle);
 }
 
-void Engine::run(const balancer::Refuse& action) {
+void Engine::run(const balancer::RejectRequest& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr) return;
   answer(*live, {503, action.retry_after, {}, {}, {}, {}, {}});
   forget_if_done(action.id);
 }
 
-void Engine::run(const balancer::Fail& action) {
+void Engine::run(const balancer::FailRequest& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr) return;
   answer(*live, {502, 0, {}, {}, {}, {}, {}});
   forget_if_done(action.id);
 }
 
-void Engine::run(const balancer::Cancel& action) {
+void Engine::run(const balancer::CancelAttempt& action) {
   const std::shared_ptr<Live> live = find(action.id);
   if (live == nullptr || action.attempt < 0) return;
   const auto attempt = static_cast<std::size_t>(action.attempt);
@@ -280,7 +281,7 @@
   });
 }
 
-void Engine::run(const balancer::WatchMembers&) { watch_(); }
+void Engine::run(const balancer::WatchEndpoints&) { watch_(); }
 
 void Engine::run(const balancer::LogLine& action) { log_line(action.text); }
 
--- a/node/engine.h
+++ b/node/engine.h
@@ -76,7 +76,7 @@
   std::size_t open() const { return open_; }
   void set_most_upstream_sockets(std::size_t sockets) { upstream_.set_most(sockets); }
   // What the module makes of its list now.
-  balancer::MembersView members() const { return balancer_.members(now()); }
+  balancer::EndpointSetView members() const { return balancer_.endpoints(now()); }
 
  private:
   struct Try {
@@ -95,12 +95,12 @@
 
   void take(const ServerList& list, bool whole);
   void post(balancer::Event event);
-  void run(const balancer::Send& action);
-  void run(const balancer::Refuse& action);
-  void run(const balancer::Fail& action);
-  void run(const balancer::Cancel& action);
+  void run(const balancer::SendAttempt& action);
+  void run(const balancer::RejectRequest& action);
+  void run(const balancer::FailRequest& action);
+  void run(const balancer::CancelAttempt& action);
   void run(const balancer::SetTimer& action);
-  void run(const balancer::WatchMembers& action);
+  void run(const balancer::WatchEndpoints& action);
   void run(const balancer::LogLine& action);
   std::shared_ptr<Live> find(const std::string& id) const;
   Reply close(Live& live);
--- a/node/intake.cpp
+++ b/node/intake.cpp
@@ -111,27 +111,28 @@
   // Guards the classes that are not safe: what servers take for safe, or can't tell from a repeat, runs
   // twice.
   const balancer::RequestClass& facts = class_facts_[*request_class];
-  const bool safe = facts.effect == balancer::Effect::kSafe;
+  const bool safe = facts.idempotency == balancer::Idempotency::kIdempotent;
   if (head.method() != (safe ? http::verb::get : http::verb::post)) {
     throw BadRequest{400, "the method does not belong to the class"};
   }
-  if ((facts.effect == balancer::Effect::kKeyed) == head["Idempotency-Key"].empty()) {
+  if ((facts.idempotency == balancer::Idempotency::kIdempotencyKey) == head["Idempotency-Key"].empty()) {
     throw BadRequest{400, "Idempotency-Key does not belong to the class"};
   }
   const std::string_view length = view(head[http::field::content_length]);
   if (safe && (head.count(http::field::transfer_encoding) > 0 || (!length.empty() && length != "0"))) {
     throw BadRequest{400, "a body where none belongs"};
   }
-  out.timeout = facts.give_up;
+  out.timeout = facts.timeout;
   if (head.count("Request-Timeout-Ms") > 0) {
     const auto ms = whole(view(head["Request-Timeout-Ms"]));
     if (!ms || *ms == 0) throw BadRequest{400, "bad Request-Timeout-Ms"};
     out.timeout = std::min(static_cast<double>(*ms) / 1000, kLongestTimeout);
   }
   if (head.count("Work-Hint") > 0) {
-    if (const auto us = whole(view(head["Work-Hint"]))) out.facts.work = static_cast<double>(*us) / 1e6;
+    if (const auto us = whole(view(head["Work-Hint"])))
+      out.facts.announced_work = static_cast<double>(*us) / 1e6;
   }
-  out.facts.is_repeat = head["Client-Retry"] == "1";
+  out.facts.is_client_retry = head["Client-Retry"] == "1";
   out.forward = forward(head);
   return out;
 }
--- a/node/main.cpp
+++ b/node/main.cpp
@@ -64,7 +64,7 @@
 
 double longest_deadline(const asterdrift::balancer::Settings& settings) {
   double longest = 0;
-  for (const asterdrift::balancer::RequestClass& c : settings.classes) longest = std::max(longest, c.give_up);
+  for (const asterdrift::balancer::RequestClass& c : settings.classes) longest = std::max(longest, c.timeout);
   return std::min(longest, kLongestDeadline);
 }
 
@@ -90,7 +90,7 @@
         siblings_(std::getenv("TMPDIR"), config.listen),
         limits_(config, 1 + siblings_.others(ns::Siblings::Word::kAlive)),
         last_answers_(longest_deadline(config.settings) + kLastAnswers),
-        alone_(config.settings.copy_count == 1),
+        alone_(config.settings.replica_count == 1),
         discovery_(io_, config,
                    {[this](const ns::ServerList& list) { engine_.list_came(list); },
                     [this] { engine_.watch_failed(); }}),
@@ -185,8 +185,8 @@
   }
 
   std::string figures() const {
-    const asterdrift::balancer::MembersView servers = engine_.members();
-    return metrics_.text({listener_.pending(), servers.listed, servers.avoided});
+    const asterdrift::balancer::EndpointSetView servers = engine_.members();
+    return metrics_.text({listener_.pending(), servers.listed, servers.unavailable});
   }
 
   void drain() {
--- a/node/upstream.cpp
+++ b/node/upstream.cpp
@@ -83,7 +83,7 @@
     socket_.async_connect(to, [self = shared_from_this()](const error_code& failed) {
       if (self->state != State::kConnecting) return;
       if (Server* known = self->pool_.find(self->server)) std::erase(known->connecting, self);
-      if (failed) return self->end(Outcome::kDialFailed, false);
+      if (failed) return self->end(Outcome::kConnectFailed, false);
       self->guarded([&] { self->start_writing(); });
     });
   }
@@ -135,12 +135,12 @@
   // Ends the attempt, if there is one, and with it the connection unless it may be kept.
   void end(Outcome outcome, bool keep) {
     AttemptEnd result{outcome, {}, {}, {}, asked_at_};
-    if (outcome == Outcome::kReset && idle_ >= kFreshIdle && now() - began_ < kStaleReset) {
+    if (outcome == Outcome::kConnectionReset && idle_ >= kFreshIdle && now() - began_ < kStaleReset) {
       pool_.wary_until_ = now() + kWary;
     }
     if (answer_) {
-      answer_->end(outcome == Outcome::kDelivered);
-    } else if (outcome == Outcome::kDelivered) {
+      answer_->end(outcome == Outcome::kSuccess);
+    } else if (outcome == Outcome::kSuccess) {
       result.content_type = std::string(parser_->get()[http::field::content_type]);
       result.body = std::move(parser_->get().body());
       result.claim = std::exchange(claim_, {});
@@ -181,7 +181,7 @@
       step();
     } catch (const std::exception& problem) {
       log_line("a connection to " + server + " ends: " + problem.what());
-      end(state == State::kReading ? Outcome::kUnknown : Outcome::kDialFailed, false);
+      end(state == State::kReading ? Outcome::kUnknown : Outcome::kConnectFailed, false);
     }
   }
 
@@ -205,11 +205,11 @@
   // Guards against taking a sent request for one that never ran: only bytes still here prove it.
   void expire() {
     if (state != State::kReading && now() >= write_by_) return end(Outcome::kNotSent, false);
-    if (state == State::kConnecting && now() < give_up_at_) return end(Outcome::kDialFailed, false);
+    if (state == State::kConnecting && now() < give_up_at_) return end(Outcome::kConnectFailed, false);
     if (!answer_ && hold_until_ > 0 && now() >= hold_until_) pass_on();
     if (now() < deadline()) return arm_timer(deadline());
-    if (answer_) return end(Outcome::kReset, false);
-    end(state == State::kReading ? Outcome::kTimedOut : Outcome::kDialFailed, false);
+    if (answer_) return end(Outcome::kConnectionReset, false);
+    end(state == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed, false);
   }
 
   // The writing is done here and not by a composed operation, which would tell of the last byte only later:
@@ -228,7 +228,7 @@
         error_code error;
         written_ += socket_.write_some(parts, error);
         if (error == asio::error::would_block) return wait_writable();
-        if (error) return end(Outcome::kDialFailed, false);
+        if (error) return end(Outcome::kConnectFailed, false);
         progress_at_ = now();
       }
     } while (next_piece());
@@ -240,7 +240,7 @@
                        [self = shared_from_this(), serial = serial_](const error_code& failed) {
                          if (self->state != State::kWriting || serial != self->serial_) return;
                          self->blocked_ = false;
-                         if (failed) return self->end(Outcome::kDialFailed, false);
+                         if (failed) return self->end(Outcome::kConnectFailed, false);
                          self->guarded([&] { self->write(); });
                        });
   }
@@ -295,7 +295,9 @@
   }
 
   // What a connection that breaks now says of its attempt.
-  Outcome broken() const { return state == State::kWriting ? Outcome::kDialFailed : Outcome::kReset; }
+  Outcome broken() const {
+    return state == State::kWriting ? Outcome::kConnectFailed : Outcome::kConnectionReset;
+  }
 
   void read() {
     error_code error;
@@ -407,9 +409,9 @@
   Outcome outcome() const {
     const auto& answer = parser_->get();
     const unsigned status = answer.result_int();
-    if (status == 200) return Outcome::kDelivered;
+    if (status == 200) return Outcome::kSuccess;
     if ((status == 503 || status == 504) && answer["Not-Started"] == "1") return Outcome::kRejected;
-    return status >= 500 ? Outcome::kError : Outcome::kUnknown;
+    return status >= 500 ? Outcome::kServerError : Outcome::kUnknown;
   }
 
   Upstream& pool_;
@@ -573,20 +575,20 @@
   std::vector<Handle> stopped;
   ++lists_;
   for (const ListedServer& told : list.servers) {
-    if (told.facts.state != balancer::ServerState::kReady) continue;
+    if (told.facts.state != balancer::EndpointState::kReady) continue;
     Server& server = servers_[told.facts.address];
     // Another process, or the same at another address: what is parked or on its way leads nowhere.
-    if (server.dial != told.dial || server.started != told.facts.started) {
+    if (server.dial != told.dial || server.started != told.facts.started_at) {
       close_parked(server);
       stop_connecting(server, stopped);
       server.generation = ++generation_;
     }
     server.dial = told.dial;
-    server.started = told.facts.started;
+    server.started = told.facts.started_at;
     server.listed = lists_;
   }
   for (const ListedServer& told : list.servers) {
-    if (told.facts.state == balancer::ServerState::kReady) continue;
+    if (told.facts.state == balancer::EndpointState::kReady) continue;
     const auto it = servers_.find(told.facts.address);
     if (it != servers_.end()) remove(it, stopped);
   }
--- a/scale/guard_test.cpp
+++ b/scale/guard_test.cpp
@@ -177,13 +177,13 @@
   double least = 1000, most = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     qu::Settings settings = settings_for(8);
-    settings.must_watch = true;
-    settings.ask_within = 6;
+    settings.requires_watch = true;
+    settings.poll_within = 6;
     qu::Balancer module(settings, seed);
     for (int i = 0; i < 8; ++i) {
       std::vector<qu::Action> actions;
-      qu::MembershipUpdate failed;
-      failed.form = qu::MembershipUpdate::Form::kFailed;
+      qu::EndpointUpdate failed;
+      failed.form = qu::EndpointUpdate::Form::kWatchFailed;
       module.handle(100, failed, actions);
       ASSERT_EQ(actions.size(), 1U);
       const double wait = std::get<qu::SetTimer>(actions[0]).at - 100;
@@ -243,13 +243,13 @@
     request.time_left = 5;
     Allocations out = handle(request);
     for (int attempt = 0; !actions.empty(); ++attempt) {
-      const auto* send = std::get_if<qu::Send>(&actions.back());
+      const auto* send = std::get_if<qu::SendAttempt>(&actions.back());
       if (send == nullptr) break;
       ++sends;
-      if (!learned) subset.insert(send->server);
-      const bool fails = learned && ill && subset.contains(send->server);
+      if (!learned) subset.insert(send->endpoint);
+      const bool fails = learned && ill && subset.contains(send->endpoint);
       const Allocations end = handle(qu::AttemptResult{
-          request.id, attempt, fails ? qu::Outcome::kDialFailed : qu::Outcome::kDelivered, 0.002, !fails});
+          request.id, attempt, fails ? qu::Outcome::kConnectFailed : qu::Outcome::kSuccess, 0.002, !fails});
       out.calls += end.calls;
       out.bytes += end.bytes;
     }
@@ -262,15 +262,15 @@
     const Allocations after = allocations();
     return {after.calls - before.calls, after.bytes - before.bytes, 0, 0};
   }
-  Allocations change(std::size_t place, qu::ServerState state) {
-    qu::MembershipUpdate one;
-    one.form = qu::MembershipUpdate::Form::kChanges;
-    one.servers = {list.servers[place]};
-    one.servers[0].state = state;
+  Allocations change(std::size_t place, qu::EndpointState state) {
+    qu::EndpointUpdate one;
+    one.form = qu::EndpointUpdate::Form::kIncremental;
+    one.endpoints = {list.endpoints[place]};
+    one.endpoints[0].state = state;
     return handle(one);
   }
 
-  qu::MembershipUpdate list;
+  qu::EndpointUpdate list;
   qu::Balancer balancer;
   std::vector<qu::Action> actions;
   std::set<std::string> subset;
@@ -310,8 +310,8 @@
     Allocations most;
     for (std::size_t i = 0; i < 40; ++i) {
       const std::size_t place = i / 2 * 7919 % servers;
-      most =
-          more(most, module.change(place, i % 2 == 0 ? qu::ServerState::kDraining : qu::ServerState::kReady));
+      most = more(
+          most, module.change(place, i % 2 == 0 ? qu::EndpointState::kDraining : qu::EndpointState::kReady));
       EXPECT_TRUE(module.actions.empty()) << servers;
     }
     EXPECT_LE(most.calls, 40U) << servers;
@@ -348,13 +348,14 @@
       std::vector<qu::Action> actions;
       tiers[tier].handle(now, event, actions);
       const bool sent = std::any_of(actions.begin(), actions.end(), [](const qu::Action& action) {
-        return std::holds_alternative<qu::Send>(action);
+        return std::holds_alternative<qu::SendAttempt>(action);
       });
       if (!sent) return false;
       const double from = now;
       const bool served = call(tier + 1);
-      const qu::AttemptResult end{request.id, attempt, served ? qu::Outcome::kDelivered : qu::Outcome::kError,
-                                  now - from, served};
+      const qu::AttemptResult end{request.id, attempt,
+                                  served ? qu::Outcome::kSuccess : qu::Outcome::kServerError, now - from,
+                                  served};
       if (served) {
         actions.clear();
         tiers[tier].handle(now, end, actions);
--- a/scale/hollow_node.cpp
+++ b/scale/hollow_node.cpp
@@ -7,10 +7,10 @@
 
 namespace qu = asterdrift::balancer;
 
-qu::MembershipUpdate update_of(const asterdrift::node::ServerList& list) {
-  qu::MembershipUpdate out;
-  out.form = list.whole ? qu::MembershipUpdate::Form::kFull : qu::MembershipUpdate::Form::kChanges;
-  for (const asterdrift::node::ListedServer& server : list.servers) out.servers.push_back(server.facts);
+qu::EndpointUpdate update_of(const asterdrift::node::ServerList& list) {
+  qu::EndpointUpdate out;
+  out.form = list.whole ? qu::EndpointUpdate::Form::kSnapshot : qu::EndpointUpdate::Form::kIncremental;
+  for (const asterdrift::node::ListedServer& server : list.servers) out.endpoints.push_back(server.facts);
   return out;
 }
 
@@ -23,15 +23,15 @@
                  {[this](const asterdrift::node::ServerList& list) { take(list); },
                   [this] {
                     counts_.failures += 1;
-                    qu::MembershipUpdate failed;
-                    failed.form = qu::MembershipUpdate::Form::kFailed;
+                    qu::EndpointUpdate failed;
+                    failed.form = qu::EndpointUpdate::Form::kWatchFailed;
                     post(failed);
                   }}),
       acted_(std::move(acted)) {}
 
 void HollowNode::start() {
   post(qu::Started{});
-  if (!config_.settings.must_watch) discovery_.watch();
+  if (!config_.settings.requires_watch) discovery_.watch();
 }
 
 void HollowNode::take(const asterdrift::node::ServerList& list) {
@@ -45,7 +45,7 @@
   std::vector<qu::Action> actions;
   balancer_.handle(asterdrift::node::now(), event, actions);
   for (const qu::Action& action : actions) {
-    if (std::holds_alternative<qu::WatchMembers>(action)) {
+    if (std::holds_alternative<qu::WatchEndpoints>(action)) {
       counts_.watches += 1;
       discovery_.watch();
     } else if (const auto* timer = std::get_if<qu::SetTimer>(&action)) {
@@ -55,9 +55,9 @@
       wait->async_wait([this, wait, token = timer->token](const boost::system::error_code& error) {
         if (!error) post(qu::TimerFired{token});
       });
-    } else if (const auto* send = std::get_if<qu::Send>(&action)) {
+    } else if (const auto* send = std::get_if<qu::SendAttempt>(&action)) {
       counts_.sends += 1;
-      sent_to_ = send->server;
+      sent_to_ = send->endpoint;
     }
   }
 }
@@ -69,7 +69,7 @@
   sent_to_.clear();
   post(request);
   const std::string out = sent_to_;
-  if (!out.empty()) post(qu::AttemptResult{request.id, 0, qu::Outcome::kDelivered, 0.001, true});
+  if (!out.empty()) post(qu::AttemptResult{request.id, 0, qu::Outcome::kSuccess, 0.001, true});
   return out;
 }
 
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -28,7 +28,7 @@
   void start();
   const Counts& counts() const { return counts_; }
   std::uint64_t seq() const { return seq_; }  // of the last list
-  bool knows_servers() const { return balancer_.members(asterdrift::node::now()).listed > 0; }
+  bool knows_servers() const { return balancer_.endpoints(asterdrift::node::now()).listed > 0; }
 
   // One call, answered at once. Returns the server of its first attempt; empty where it was refused.
   std::string call();
@@ -48,6 +48,6 @@
 };
 
 // What the module is told of a list.
-asterdrift::balancer::MembershipUpdate update_of(const asterdrift::node::ServerList& list);
+asterdrift::balancer::EndpointUpdate update_of(const asterdrift::node::ServerList& list);
 
 }  // namespace scale
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -61,7 +61,7 @@
   return asterdrift::node::read_config(config_text(setup)).settings;
 }
 
-qu::MembershipUpdate full(std::size_t servers) {
+qu::EndpointUpdate full(std::size_t servers) {
   return update_of(asterdrift::node::read_list(whole_list(1, servers, kDialPort), kZones));
 }
 
@@ -85,10 +85,10 @@
     qu::Balancer module(settings_for(servers, options, 1), 1);
     module.handle(now, first, actions);
     const auto changes = costs_of(servers > 1000 ? 101 : 1001, [&](int i) {
-      qu::MembershipUpdate change;
-      change.form = qu::MembershipUpdate::Form::kChanges;
-      change.servers = {first.servers[static_cast<std::size_t>(i / 2) * 7919 % servers]};
-      if (i % 2 == 0) change.servers[0].state = qu::ServerState::kDraining;
+      qu::EndpointUpdate change;
+      change.form = qu::EndpointUpdate::Form::kIncremental;
+      change.endpoints = {first.endpoints[static_cast<std::size_t>(i / 2) * 7919 % servers]};
+      if (i % 2 == 0) change.endpoints[0].state = qu::EndpointState::kDraining;
       module.handle(now += 0.1, change, actions);
     });
     const auto again = costs_of(11, [&](int) { module.handle(now += 0.1, first, actions); });
@@ -113,9 +113,9 @@
   CallTrial(std::size_t servers, const Options& options, Subset subset)
       : subset_(subset), period_(1 / options.number("calls-per-s", 330)) {
     qu::Settings settings = settings_for(servers, options, subset == Subset::kFull ? 0 : 1);
-    settings.start_capacity = 0.1;
-    settings.ramp_time = 3600;
-    settings.tenants[0].allowance = static_cast<double>(settings.copy_count) / period_;
+    settings.slow_start_capacity = 0.1;
+    settings.slow_start_duration = 3600;
+    settings.tenants[0].quota = static_cast<double>(settings.replica_count) / period_;
     module_.emplace(settings, 1);
     list_ = full(servers);
     handle(list_);
@@ -151,12 +151,12 @@
   void turn() {
     turned_ = true;
     if (subset_ != Subset::kCold) return;
-    qu::MembershipUpdate restarted;
-    restarted.form = qu::MembershipUpdate::Form::kChanges;
-    for (qu::Server server : list_.servers) {
+    qu::EndpointUpdate restarted;
+    restarted.form = qu::EndpointUpdate::Form::kIncremental;
+    for (qu::Endpoint server : list_.endpoints) {
       if (!members_.contains(server.address)) continue;
-      server.started = now_;
-      restarted.servers.push_back(server);
+      server.started_at = now_;
+      restarted.endpoints.push_back(server);
     }
     handle(restarted);
   }
@@ -190,28 +190,28 @@
   void follow() {
     clock_ = now_;
     for (const qu::Action& action : actions_) {
-      if (std::holds_alternative<qu::Refuse>(action)) ++refused_;
-      const auto* send = std::get_if<qu::Send>(&action);
+      if (std::holds_alternative<qu::RejectRequest>(action)) ++refused_;
+      const auto* send = std::get_if<qu::SendAttempt>(&action);
       if (send == nullptr) continue;
-      if (!turned_) members_.insert(send->server);
-      const bool of_subset = turned_ && members_.contains(send->server);
+      if (!turned_) members_.insert(send->endpoint);
+      const bool of_subset = turned_ && members_.contains(send->endpoint);
       double took = 0.02;
-      qu::Outcome outcome = qu::Outcome::kDelivered;
+      qu::Outcome outcome = qu::Outcome::kSuccess;
       if (of_subset && subset_ == Subset::kFull) took = 0.034;
       if (of_subset && subset_ == Subset::kIll) {
         took = 0.001;
-        outcome = qu::Outcome::kDialFailed;
+        outcome = qu::Outcome::kConnectFailed;
       }
       const int attempt = attempts_[send->id]++;
-      ends_.push({now_ + took, {send->id, attempt, outcome, took, outcome == qu::Outcome::kDelivered}});
-      if (outcome == qu::Outcome::kDelivered) attempts_.erase(send->id);
+      ends_.push({now_ + took, {send->id, attempt, outcome, took, outcome == qu::Outcome::kSuccess}});
+      if (outcome == qu::Outcome::kSuccess) attempts_.erase(send->id);
     }
   }
 
   Subset subset_;
   double period_, now_ = 100, clock_ = 100;
   std::optional<qu::Balancer> module_;
-  qu::MembershipUpdate list_;
+  qu::EndpointUpdate list_;
   std::set<std::string> members_;  // of the subset
   bool turned_ = false;
   std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
@@ -259,7 +259,7 @@
     const std::size_t before_read = allocations().live;
     reset_peak();
     std::size_t read = 0, read_peak = 0;
-    qu::MembershipUpdate first;
+    qu::EndpointUpdate first;
     {
       const auto list = asterdrift::node::read_list(text, kZones);
       read = allocations().live - before_read;
@@ -274,12 +274,12 @@
     reset_peak();
     module.handle(100, first, actions);
     const std::size_t held = allocations().live - before, peak = allocations().peak - before;
-    qu::MembershipUpdate change;
-    change.form = qu::MembershipUpdate::Form::kChanges;
-    change.servers = {first.servers[servers / 2]};
-    change.servers[0].state = qu::ServerState::kDraining;
+    qu::EndpointUpdate change;
+    change.form = qu::EndpointUpdate::Form::kIncremental;
+    change.endpoints = {first.endpoints[servers / 2]};
+    change.endpoints[0].state = qu::EndpointState::kDraining;
     module.handle(101, change, actions);
-    change.servers[0].state = qu::ServerState::kReady;
+    change.endpoints[0].state = qu::EndpointState::kReady;
     const Allocations from = allocations();
     module.handle(102, change, actions);
     const Allocations to = allocations();
--- a/src/balancer/brain.cpp
+++ b/src/balancer/brain.cpp
@@ -77,11 +77,11 @@
   return perceived <= 0 ? 0 : std::clamp(1 - rate_limit / perceived, 0.0, 1.0);
 }
 
-std::vector<std::size_t> subset_of(std::size_t copy_index, std::size_t copy_count, std::size_t servers,
+std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count, std::size_t servers,
                                    std::size_t size) {
   std::vector<std::size_t> out;
-  if (servers == 0 || copy_count == 0) return out;
-  const std::size_t start = subset_start(copy_index, copy_count, servers);
+  if (servers == 0 || replica_count == 0) return out;
+  const std::size_t start = subset_start(replica_index, replica_count, servers);
   for (std::size_t i = 0; i < std::min(size, servers); ++i) out.push_back((start + i) % servers);
   return out;
 }
@@ -92,13 +92,13 @@
       : settings_(settings), random_(seed), servers_(settings.zone) {
     validate(settings);
     settings_.classes.emplace_back();  // what is out of range lands here: unsafe, no aim of its own
-    settings_.classes.back().give_up = settings_.classes.back().aim = kForever;
+    settings_.classes.back().timeout = settings_.classes.back().latency_objective = kForever;
     for (const RequestClass& c : settings_.classes) {
-      const double aim = std::min(c.aim, 60.0);
+      const double aim = std::min(c.latency_objective, 60.0);
       latency_.push_back({aim / 4, aim / 8, 0});
     }
-    for (const RequestClass& c : settings.classes) aim_.add(c.aim, 0);
-    for (const Tenant& told : settings_.tenants) share_ += told.allowance.value_or(0) / settings_.copy_count;
+    for (const RequestClass& c : settings.classes) aim_.add(c.latency_objective, 0);
+    for (const Tenant& told : settings_.tenants) share_ += told.quota.value_or(0) / settings_.replica_count;
     const double buckets = share_ > 0 ? std::round(kWindowCalls / share_ / kBucket) : 0;
     window_ = kBucket * std::clamp<double>(buckets, kLeastBuckets, kMostBuckets);
     settings_.tenants.emplace_back();
@@ -117,7 +117,7 @@
     return {t.limit, factor_of(t, sums), sums.total, sums.declined};
   }
 
-  MembersView members(double now) const {
+  EndpointSetView members(double now) const {
     return servers_.view([&](const ServerNode& s) { return slowness(s, now) >= kIll; });
   }
 
@@ -127,15 +127,15 @@
   TenantState first_limit(const Tenant& told) const {
     TenantState t(static_cast<int>(std::lround(window_ / kBucket)));
     const double share = settings_.tier > 0 ? kDeepFloorShare : kFloorShare;
-    t.share_of_these = told.allowance ? 0 : share;
-    if (told.allowance) {
-      const double part = t.part = *told.allowance / settings_.copy_count;
+    t.share_of_these = told.quota ? 0 : share;
+    if (told.quota) {
+      const double part = t.part = *told.quota / settings_.replica_count;
       const bool few = window_ > kBucket * kLeastBuckets;
       // Danger: with few calls a review is a matter of chance, and a copy that it may cut below the tenant's
       // part ends there: a third of a calm day was denied. A jam is let run off by the tier's room.
-      t.floor = std::max(kFloorRate / settings_.copy_count, part * share);
+      t.floor = std::max(kFloorRate / settings_.replica_count, part * share);
       t.limit = std::max(t.floor, part * (few ? kSparseStart : kStartShare));
-      t.worth = settings_.over_share_worth;
+      t.worth = settings_.over_quota_priority_weight;
     }
     return t;
   }
@@ -250,7 +250,7 @@
     const double size = s.told.weight / servers_.ready_weight();
     const double most = settings_.tier == 0 && share_ > 0 ? share_ : kForever;
     return s.cold.refill(now_, std::min(admitted_.at(now_), most) * part * size, answers_,
-                         per_answer() * cold_most(settings_, warm) * size, settings_.tip_after);
+                         per_answer() * cold_most(settings_, warm) * size, settings_.overload_window);
   }
 
   // ---------------------------------------------------------------- which server?
@@ -283,8 +283,8 @@
   bool in_scope(const Pending& p, const ServerNode& s) const {
     const RequestClass& c = settings_.classes[p.request_class];
     for (const Attempt& a : p.attempts) {
-      if (!a.may_have_run || c.effect == Effect::kSafe) continue;
-      if (c.effect == Effect::kUnsafe || now_ > a.sent + c.dedup_window) return false;
+      if (!a.may_have_run || c.idempotency == Idempotency::kIdempotent) continue;
+      if (c.idempotency == Idempotency::kNotIdempotent || now_ > a.sent + c.dedup_window) return false;
       if (c.dedup_scope == DedupScope::kZone && a.zone != s.told.zone) return false;
       if (c.dedup_scope == DedupScope::kCell && a.cell != s.told.cell) return false;
     }
@@ -299,7 +299,7 @@
     const double hoped = idle_.base / std::max(tier_answer_.mean, idle_.base);  // of zones not tried lately
     const double better = (near.sum + 1) * (far.weight + 1) / ((far.sum + hoped) * (near.weight + 1));
     far_part_ =
-        kFarPart * std::max(0.0, std::pow(better, kZonePower) - kZoneChance) / settings_.cross_zone_price;
+        kFarPart * std::max(0.0, std::pow(better, kZonePower) - kZoneChance) / settings_.cross_zone_cost;
     for (const std::uint32_t i : looked_) {
       ServerNode& s = servers_[i];
       if (only_healthy && slowness(s, now_) >= kIll) continue;
@@ -315,7 +315,7 @@
   // drop repeats of what may have run.
   Arc in_reach(const Pending& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
-    const bool bound = c.effect == Effect::kKeyed && c.dedup_scope != DedupScope::kAll;
+    const bool bound = c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope != DedupScope::kAll;
     if (!bound || servers_.ready().size() <= kMostLooked) return servers_.all();
     for (const Attempt& a : p.attempts) {
       if (!a.may_have_run) continue;
@@ -351,7 +351,7 @@
     const double left = p.useful_until - now_;
     const Estimate& usual = latency_[p.request_class];
     const double longest = usual.mean + kDeviations * usual.deviation;
-    const bool can_repeat = settings_.classes[p.request_class].effect != Effect::kUnsafe &&
+    const bool can_repeat = settings_.classes[p.request_class].idempotency != Idempotency::kNotIdempotent &&
                             p.attempts.size() + 1 < static_cast<std::size_t>(settings_.max_attempts);
     return can_repeat && left - longest > usual.mean ? longest : left;
   }
@@ -366,8 +366,8 @@
   // A refusal promises that a repeat is harmless: only when nothing can have run, or repeats are dropped.
   bool may_refuse(const Pending& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
-    if (c.effect == Effect::kSafe) return true;
-    if (c.effect == Effect::kKeyed && c.dedup_scope == DedupScope::kAll) return true;
+    if (c.idempotency == Idempotency::kIdempotent) return true;
+    if (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll) return true;
     return !p.may_have_run();
   }
 
@@ -382,13 +382,14 @@
     if (!p.attempts.empty()) retry_tokens_ -= p.retry_cost();
     if (warmth(s.told, settings_, now_) < 1) s.cold.spend();
     p.attempts.push_back({*server, s.order, s.told.zone, s.told.cell, now_});
-    if (!p.arriving) enter(p.attempts.back());
-    out_->push_back(Send{id, s.told.address, limit, window_left(p, settings_.classes, now_)});
+    if (!p.body_arriving) enter(p.attempts.back());
+    out_->push_back(SendAttempt{id, s.told.address, limit, window_left(p, settings_.classes, now_)});
     return true;
   }
 
   void answer_unserved(const std::string& id, Pending& p) {
-    out_->push_back(may_refuse(p) ? Action{Refuse{id, settings_.max_retry_after / 2}} : Action{Fail{id}});
+    out_->push_back(may_refuse(p) ? Action{RejectRequest{id, settings_.max_retry_after / 2}}
+                                  : Action{FailRequest{id}});
     p.finished = true;
   }
 
@@ -401,35 +402,38 @@
   }
 
   void cancel_open(const std::string& id, const Pending& p) {
-    if (!settings_.can_cancel || p.streaming) return;
+    if (!settings_.cancel_allowed || p.streaming) return;
     for (std::size_t i = 0; i < p.attempts.size(); ++i) {
-      if (p.attempts[i].open) out_->push_back(Cancel{id, static_cast<int>(i)});
+      if (p.attempts[i].open) out_->push_back(CancelAttempt{id, static_cast<int>(i)});
     }
   }
 
   // ---------------------------------------------------------------- events
 
   void on(const Started&) {
-    if (settings_.must_watch) out_->push_back(WatchMembers{});
+    if (settings_.requires_watch) out_->push_back(WatchEndpoints{});
   }
 
   void on(const Request& r) {
     if (pending_.contains(r.id)) return;
     const std::size_t tenant = std::min(r.tenant, tenants_.size() - 1);
     if (!admits(tenants_[tenant])) {
-      out_->push_back(Refuse{r.id, settings_.max_retry_after / 2});
+      out_->push_back(RejectRequest{r.id, settings_.max_retry_after / 2});
       note_shed(denied_);
       return;
     }
     admitted_.add(now_);
     Pending& p = pending_[r.id];
     p.tenant = tenant;
-    p.arriving = r.arriving;
+    p.body_arriving = r.body_arriving;
     p.request_class = std::min(r.request_class, settings_.classes.size() - 1);
     const RequestClass& c = settings_.classes[p.request_class];
-    if (std::isfinite(c.aim)) aim_.add(std::min(c.aim, c.give_up), kLatencyGain);
-    const double aim = std::min(c.aim + c.aim_stretch * r.work.value_or(0), c.give_up);
-    const double useful = c.late_worth > 0 ? r.time_left : std::min(r.time_left, aim - 2 * settings_.tick);
+    if (std::isfinite(c.latency_objective)) aim_.add(std::min(c.latency_objective, c.timeout), kLatencyGain);
+    const double aim = std::min(
+        c.latency_objective + c.latency_objective_per_work * r.announced_work.value_or(0), c.timeout);
+    const double useful = c.late_priority_weight > 0
+                              ? r.time_left
+                              : std::min(r.time_left, aim - 2 * settings_.clock_granularity);
     p.useful_until = now_ + useful;
     if (send(r.id, p)) return;
     if (!sparse()) review(tenants_[tenant], true, false);
@@ -465,31 +469,31 @@
   // A server has an attempt. Danger: while a body takes its client's time its server has nothing to do;
   // counted as work in flight, some slow clients shut the tier to all others.
   void enter(Attempt& a) {
-    if (servers_[a.server].order != a.order) return;  // it has gone meanwhile, and its slot to another
+    if (servers_[a.endpoint].order != a.order) return;  // it has gone meanwhile, and its slot to another
     a.in_flight = true;
     a.sent = now_;
-    servers_[a.server].in_flight += 1;
-    servers_[a.server].sent_sum += now_;
-    servers_.trace(a.server, now_);
+    servers_[a.endpoint].in_flight += 1;
+    servers_[a.endpoint].sent_sum += now_;
+    servers_.trace(a.endpoint, now_);
     in_flight_.change(now_, 1);
   }
 
   // It is done with it, or nobody waits.
   void leave(Attempt& a) {
-    servers_.trace(a.server, now_);
+    servers_.trace(a.endpoint, now_);
     if (!std::exchange(a.in_flight, false)) return;
-    servers_[a.server].in_flight -= 1;
-    servers_[a.server].sent_sum -= a.sent;
+    servers_[a.endpoint].in_flight -= 1;
+    servers_[a.endpoint].sent_sum -= a.sent;
     in_flight_.change(now_, -1);
   }
 
   void learn_from(const Pending& p, Attempt& a, Outcome outcome, double elapsed) {
-    if (std::exchange(a.learned, true) || servers_[a.server].order != a.order) return;
-    ServerNode& s = servers_[a.server];
+    if (std::exchange(a.learned, true) || servers_[a.endpoint].order != a.order) return;
+    ServerNode& s = servers_[a.endpoint];
     const bool was_well = slowness(s, now_) < kIll;
     if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return;
-    const bool answered = outcome == Outcome::kDelivered;
-    const double aim = settings_.classes[p.request_class].aim;
+    const bool answered = outcome == Outcome::kSuccess;
+    const double aim = settings_.classes[p.request_class].latency_objective;
     const double part_of_aim = aim > 0 ? elapsed / aim : 0;
     if (answered) {
       retry_tokens_ = std::min(kRetryBurst, retry_tokens_ + kRetryShare);
@@ -508,34 +512,36 @@
       (is_far(s) ? far_ : near_).add(now_, std::min(took / std::max(tier_answer_.mean, 0.01), kIll));
     }
     // Errors and broken connections tell nothing of the room behind a limit: they neither lower nor raise it.
-    if (outcome == Outcome::kError || outcome == Outcome::kReset || outcome == Outcome::kUnknown) return;
+    if (outcome == Outcome::kServerError || outcome == Outcome::kConnectionReset ||
+        outcome == Outcome::kUnknown)
+      return;
     const bool bad = !answered || part_of_aim > kInTime;  // one sick server is no reason to cut a tenant
     if (was_well || !bad) review(tenants_[p.tenant], bad, answered && part_of_aim <= 1);
   }
 
-  void on(const AnswerStarted& r) {
+  void on(const ResponseStarted& r) {
     const auto [p, a] = find(r.id, r.attempt);
     if (a == nullptr) return;
     p->streaming = true;
     // The answer counts from its first byte. Danger: how long a large one takes to pass tells of its size and
     // of the client; learned as an answer time it would shun the server.
     leave(*a);
-    learn_from(*p, *a, Outcome::kDelivered, r.elapsed);
+    learn_from(*p, *a, Outcome::kSuccess, r.elapsed);
   }
 
-  void on(const AttemptOut& r) {
+  void on(const RequestBodySent& r) {
     const auto [p, a] = find(r.id, r.attempt);
-    if (a == nullptr || !std::exchange(p->arriving, false)) return;
+    if (a == nullptr || !std::exchange(p->body_arriving, false)) return;
     p->useful_until += now_ - a->sent;
     if (!p->streaming) enter(*a);
   }
 
-  void on(const BodyGone& r) {
+  void on(const RequestBodyConsumed& r) {
     const auto it = pending_.find(r.id);
     if (it != pending_.end()) it->second.once = true;
   }
 
-  void on(const RequestGone& r) {
+  void on(const RequestAborted& r) {
     const auto it = pending_.find(r.id);
     if (it == pending_.end()) return;
     if (!it->second.finished) cancel_open(r.id, it->second);
@@ -543,10 +549,11 @@
     if (!it->second.any_open()) pending_.erase(it);
   }
 
-  void on(const MembershipUpdate& update) {
-    if (update.form == MembershipUpdate::Form::kFailed) {
-      if (!settings_.must_watch) return;
-      const double most = settings_.ask_within > 0 ? std::min(settings_.ask_within / 2, kRewatch) : kRewatch;
+  void on(const EndpointUpdate& update) {
+    if (update.form == EndpointUpdate::Form::kWatchFailed) {
+      if (!settings_.requires_watch) return;
+      const double most =
+          settings_.poll_within > 0 ? std::min(settings_.poll_within / 2, kRewatch) : kRewatch;
       out_->push_back(SetTimer{now_ + most * (0.5 + random_.unit() / 2), kWatchTimer});
       return;
     }
@@ -556,7 +563,7 @@
   }
 
   void on(const TimerFired& timer) {
-    if (timer.token == kWatchTimer && settings_.must_watch) out_->push_back(WatchMembers{});
+    if (timer.token == kWatchTimer && settings_.requires_watch) out_->push_back(WatchEndpoints{});
   }
 
   Settings settings_;
@@ -599,6 +606,6 @@
 
 TenantView Balancer::tenant(double now, std::size_t tenant) const { return impl_->view(now, tenant); }
 
-MembersView Balancer::members(double now) const { return impl_->members(now); }
+EndpointSetView Balancer::endpoints(double now) const { return impl_->members(now); }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/cold.h
+++ b/src/balancer/cold.h
@@ -10,16 +10,18 @@
 
 namespace asterdrift::balancer {
 
-constexpr double kColdBudget = 0.5;    // of tip_multiple x sure capacity: copies, sizes and chance differ
-constexpr double kColdTrust = 2;       // of that budget; what quick answers add to it at most
-constexpr double kColdCarried = 0.75;  // of tip_multiple x sure capacity; of what is answered, trusted or not
-constexpr double kColdSaved = 0.25;    // of tip_after; what a copy may save up beyond one call
+constexpr double kColdBudget = 0.5;  // of overload_multiple x sure capacity: copies, sizes and chance differ
+constexpr double kColdTrust = 2;     // of that budget; what quick answers add to it at most
+constexpr double kColdCarried =
+    0.75;  // of overload_multiple x sure capacity; of what is answered, trusted or not
+constexpr double kColdSaved = 0.25;  // of overload_window; what a copy may save up beyond one call
 
 // The part of its full capacity that a server is sure to have by now.
-inline double warmth(const Server& told, const Settings& settings, double now) {
-  if (told.started == 0 || settings.ramp_time <= 0) return 1;
-  const double age = std::max(0.0, now - told.started);
-  return std::min(1.0, settings.start_capacity + (1 - settings.start_capacity) * age / settings.ramp_time);
+inline double warmth(const Endpoint& told, const Settings& settings, double now) {
+  if (told.started_at == 0 || settings.slow_start_duration <= 0) return 1;
+  const double age = std::max(0.0, now - told.started_at);
+  return std::min(1.0, settings.slow_start_capacity +
+                           (1 - settings.slow_start_capacity) * age / settings.slow_start_duration);
 }
 
 // The part of a warm server's calls that a cold one may have. One that answers a copy as quickly as the
@@ -27,12 +29,12 @@
 // stands idle beside crowded ones.
 inline double cold_part(const Settings& settings, double warm, double against_idle, double known) {
   const double well = std::clamp(2 - against_idle, 0.0, 1.0) * known;
-  return std::min(1.0, warm * settings.tip_multiple * kColdBudget * (1 + kColdTrust * well));
+  return std::min(1.0, warm * settings.overload_multiple * kColdBudget * (1 + kColdTrust * well));
 }
 
 // The most that it may have of what is answered: the rest is left to chance.
 inline double cold_most(const Settings& settings, double warm) {
-  return std::min(1.0, warm * settings.tip_multiple * kColdCarried);
+  return std::min(1.0, warm * settings.overload_multiple * kColdCarried);
 }
 
 // What a copy's servers would answer, were all of them warm and well, for each call that they answer now.
@@ -61,9 +63,9 @@
   double held = 0, earned = 0, at = 0;
   std::uint64_t seen = 0;  // answers
 
-  bool refill(double now, double per_s, std::uint64_t answers, double per_answer, double tip_after) {
+  bool refill(double now, double per_s, std::uint64_t answers, double per_answer, double overload_window) {
     const double gain = static_cast<double>(answers - seen) * per_answer;
-    const double most = 1 + per_s * tip_after * kColdSaved;
+    const double most = 1 + per_s * overload_window * kColdSaved;
     held = std::min(most, held + (now - at) * per_s);
     earned = std::isinf(per_answer) ? most : std::min(most, earned + gain);
     at = now;
--- a/src/balancer/members.h
+++ b/src/balancer/members.h
@@ -23,7 +23,7 @@
 constexpr std::size_t kManyChanges = 16;  // where an update changes a larger part, all are ranked anew
 
 struct ServerNode {
-  Server told;
+  Endpoint told;
   std::uint64_t order = 0;
   int in_flight = 0;
   bool ranked = false, traced = false, named = false;  // named: on the last full list, or since
@@ -55,21 +55,21 @@
   double ready_weight() const { return ready_weight_; }
 
   // answers: those that this copy has had by now.
-  void learn(const MembershipUpdate& update, double now, std::uint64_t answers, Random& random) {
-    const bool full = update.form == MembershipUpdate::Form::kFull;
+  void learn(const EndpointUpdate& update, double now, std::uint64_t answers, Random& random) {
+    const bool full = update.form == EndpointUpdate::Form::kSnapshot;
     for (std::uint32_t slot = 0; full && slot < size_; ++slot) (*this)[slot].named = false;
-    for (const Server& told : update.servers) learn(told, now, answers, random);
+    for (const Endpoint& told : update.endpoints) learn(told, now, answers, random);
     for (std::uint32_t slot = 0; full && slot < size_; ++slot) {
       ServerNode& s = (*this)[slot];
-      if (s.named || s.told.state == ServerState::kGone) continue;  // what a full list lacks is gone
+      if (s.named || s.told.state == EndpointState::kRemoved) continue;  // what a full list lacks is gone
       if (s.ranked) unrank(slot);
-      s.told.state = ServerState::kGone;
+      s.told.state = EndpointState::kRemoved;
       gone_.push_back(slot);
     }
     forget_gone();
   }
 
-  void learn(const Server& told, double now, std::uint64_t answers, Random& random) {
+  void learn(const Endpoint& told, double now, std::uint64_t answers, Random& random) {
     const std::uint64_t order = hash_of(told.address);
     const std::size_t at = known_.first_not([&](Ranking::Entry e) {
       return e.key != key_of(order) ? e.key < key_of(order) : is_before((*this)[e.slot], order, told.address);
@@ -78,10 +78,10 @@
     const std::uint32_t slot = unknown ? take_slot() : known_[at].slot;
     if (unknown) known_.insert(at, {key_of(order), slot});
     ServerNode& s = (*this)[slot];
-    const bool is_ready = told.state == ServerState::kReady;
+    const bool is_ready = told.state == EndpointState::kReady;
     const bool moves = told.weight != s.told.weight || told.zone != s.told.zone || told.cell != s.told.cell;
     if (s.ranked && (!is_ready || moves)) unrank(slot);
-    if (unknown || told.started != s.told.started) {
+    if (unknown || told.started_at != s.told.started_at) {
       ServerNode fresh;  // another process: what the last one did says nothing
       fresh.order = order;
       fresh.in_flight = s.in_flight;
@@ -99,7 +99,7 @@
     s.named = true;
     if (!(s.told.weight > 0)) s.told.weight = 1;
     if (is_ready && !s.ranked && !all_anew_) rank(slot);
-    if (s.told.state == ServerState::kGone) gone_.push_back(slot);
+    if (s.told.state == EndpointState::kRemoved) gone_.push_back(slot);
   }
 
   // A call has gone to a server, or come back: it may have become slow.
@@ -119,8 +119,8 @@
   // Shunned servers are avoided only while others are well: where none is, all are sent to again. One that
   // has not answered lately is not shunned.
   template <class Shunned>
-  MembersView view(const Shunned& shunned) const {
-    MembersView out;
+  EndpointSetView view(const Shunned& shunned) const {
+    EndpointSetView out;
     const std::size_t ready = ready_.size();
     std::size_t ill = 0;
     for (const std::uint32_t slot : traced_) {
@@ -128,8 +128,8 @@
       if (s.ranked && shunned(s)) ++ill;
     }
     out.listed = known_.size() - gone_.size();
-    out.avoided = out.listed - ready + (ill < ready ? ill : 0);
-    out.looked = looked_;
+    out.unavailable = out.listed - ready + (ill < ready ? ill : 0);
+    out.examined = looked_;
     return out;
   }
 
@@ -138,12 +138,12 @@
     gone_.erase(std::unique(gone_.begin(), gone_.end()), gone_.end());
     std::erase_if(gone_, [this](std::uint32_t slot) {
       ServerNode& s = (*this)[slot];
-      if (s.told.state != ServerState::kGone) return true;
+      if (s.told.state != EndpointState::kRemoved) return true;
       if (s.in_flight > 0) return false;
       known_.erase(place(known_, key_of(s.order), s));
       const bool traced = s.traced;
       s = ServerNode();
-      s.told.state = ServerState::kGone;
+      s.told.state = EndpointState::kRemoved;
       s.traced = traced;
       free_.push_back(slot);
       return true;
@@ -223,17 +223,17 @@
     all_anew_ = false;
     known_.walk(0, known_.size(), [&](std::uint32_t slot) {
       ServerNode& s = (*this)[slot];
-      if (s.told.state != ServerState::kReady) return;
+      if (s.told.state != EndpointState::kReady) return;
       s.ranked = true;
       ready_weight_ += s.told.weight;
       ready_.append({key_of(s.order), slot});
       if (s.told.zone != zone_) far_.append({key_of(s.order), slot});
     });
-    append_sorted(by_zone_, &Server::zone);
-    append_sorted(by_cell_, &Server::cell);
+    append_sorted(by_zone_, &Endpoint::zone);
+    append_sorted(by_cell_, &Endpoint::cell);
   }
 
-  void append_sorted(Ranking& to, int Server::*number) {
+  void append_sorted(Ranking& to, int Endpoint::*number) {
     std::vector<Ranking::Entry> all;
     all.reserve(ready_.size());
     ready_.walk(0, ready_.size(), [&](std::uint32_t slot) {
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -15,8 +15,8 @@
 constexpr std::size_t kLeastLocal = 3;  // servers; with fewer in its own zone a copy does not prefer it
 
 // Evenly spaced starts on a ring: any two servers differ by at most one in how many copies use them.
-inline std::size_t subset_start(std::size_t copy_index, std::size_t copy_count, std::size_t servers) {
-  return copy_index * servers / copy_count;
+inline std::size_t subset_start(std::size_t replica_index, std::size_t replica_count, std::size_t servers) {
+  return replica_index * servers / replica_count;
 }
 
 class Subset {
@@ -30,16 +30,16 @@
     // Danger: with its own zone alone, a zone with more traffic than servers drowns beside an idle one. So a
     // like part of the other zones belongs to the subset, drawn the less for its price. Danger: with one or
     // two servers in its own zone there is nothing to choose from, and a small one gets a large one's calls.
-    stays_ = settings.cross_zone_price > 0 && local.size >= kLeastLocal;
+    stays_ = settings.cross_zone_cost > 0 && local.size >= kLeastLocal;
     arcs_ = stays_ ? std::vector{local, servers.far()} : std::vector{servers.all()};
-    const std::size_t count = static_cast<std::size_t>(settings.copy_count);
+    const std::size_t count = static_cast<std::size_t>(settings.replica_count);
     if (size_ == 0)
-      next_ = subset_start(static_cast<std::size_t>(settings.copy_index), count, servers.ready().size());
+      next_ = subset_start(static_cast<std::size_t>(settings.replica_index), count, servers.ready().size());
     size_ = 0;
     for (Arc& arc : arcs_) {
       // Danger: a subset of fixed size leaves servers without any caller where copies are few.
       arc.size = std::min(arc.around, std::max(kSubset, (kCover * arc.around + count - 1) / count));
-      arc.start = subset_start(static_cast<std::size_t>(settings.copy_index), count, arc.around);
+      arc.start = subset_start(static_cast<std::size_t>(settings.replica_index), count, arc.around);
       size_ += arc.size;
     }
     sharers_ =
--- a/src/balancer/support.h
+++ b/src/balancer/support.h
@@ -147,13 +147,13 @@
 
 // Which outcomes prove that an attempt never ran. Danger: taking an unknown end for harmless repeats effects.
 inline bool never_ran(Outcome outcome) {
-  return outcome == Outcome::kRejected || outcome == Outcome::kDialFailed || outcome == Outcome::kNotSent;
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
 struct Attempt {
-  std::size_t server = 0;   // its slot; another's once the attempt has ended
-  std::uint64_t order = 0;  // tells the server for good
-  int zone = 0, cell = 0;   // of the server, when it was sent to
+  std::size_t endpoint = 0;  // its slot; another's once the attempt has ended
+  std::uint64_t order = 0;   // tells the server for good
+  int zone = 0, cell = 0;    // of the server, when it was sent to
   double sent = 0;
   bool open = true, may_have_run = true;
   bool in_flight = false;  // counted as such: the server has it, and does not give its answer yet
@@ -163,7 +163,7 @@
   void end(Outcome outcome) {
     open = false;
     may_have_run = !never_ran(outcome);
-    dial_failed = outcome == Outcome::kDialFailed;
+    dial_failed = outcome == Outcome::kConnectFailed;
   }
 };
 
@@ -173,8 +173,8 @@
   double useful_until = 0;  // when the answer becomes worthless
   std::vector<Attempt> attempts;
   bool finished = false, streaming = false;
-  bool arriving = false;  // its body is still coming
-  bool once = false;      // no further attempt is possible
+  bool body_arriving = false;  // its body is still coming
+  bool once = false;           // no further attempt is possible
 
   bool any_open() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.open; });
@@ -194,7 +194,7 @@
 inline double window_left(const Pending& p, const std::vector<RequestClass>& classes, double now) {
   const RequestClass& c = classes[p.request_class];
   double left = std::numeric_limits<double>::infinity();
-  for (std::size_t i = 0; c.effect == Effect::kKeyed && i + 1 < p.attempts.size(); ++i) {
+  for (std::size_t i = 0; c.idempotency == Idempotency::kIdempotencyKey && i + 1 < p.attempts.size(); ++i) {
     if (p.attempts[i].may_have_run) left = std::min(left, p.attempts[i].sent + c.dedup_window - now);
   }
   return left;
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -144,9 +144,9 @@
     EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
     EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
   };
-  panics(R"("peersTotal":1)", R"("peersTotal":0)", "copy_count");
-  panics(R"("position":0)", R"("position":1)", "copy_index");
-  panics(R"("aim":1.0)", R"("aim":-1.0)", "aim");
+  panics(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
+  panics(R"("position":0)", R"("position":1)", "replica_index");
+  panics(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
   panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
--- a/tests/chain_model.h
+++ b/tests/chain_model.h
@@ -50,13 +50,13 @@
       counts->assign(tiers, 0);
     servers_.resize(tiers);
     for (int t = 0; t < setup_.tiers; ++t) {
-      MembershipUpdate list = members(setup_.servers);
+      EndpointUpdate list = members(setup_.servers);
       const int copies = t == 0 ? 1 : setup_.servers;
       for (int i = 0; i < copies; ++i) {
         Settings s = setup_.settings;
         s.tier = t;
-        s.copy_index = i;
-        s.copy_count = copies;
+        s.replica_index = i;
+        s.replica_count = copies;
         copies_.push_back(std::make_unique<Balancer>(s, setup_.seed * 1000003 + copies_.size()));
         std::vector<Action> none;
         copies_.back()->handle(0, list, none);
@@ -71,7 +71,7 @@
       at(1 + i / setup_.rate, [this] {
         ++counts_.requests;
         const RequestClass& c = setup_.settings.classes[0];
-        call(0, 0, c.give_up, [this](Answer a) {
+        call(0, 0, c.timeout, [this](Answer a) {
           ++(a == Answer::kServed    ? counts_.served
              : a == Answer::kRefused ? counts_.refused
                                      : counts_.failed);
@@ -101,7 +101,7 @@
     std::function<void(Answer)> reply;  // empty once it has been called
     std::vector<std::shared_ptr<Try>> tries;
   };
-  struct ServerState {
+  struct EndpointState {
     int busy = 0;
     std::vector<std::function<void()>> waiting;
   };
@@ -143,7 +143,7 @@
   // The host ends a request that the module has not: nobody waits any more.
   void end(const std::string& id, Live& live, Answer answer) {
     if (!finish(live, answer)) return;
-    handle(live.copy, RequestGone{id});
+    handle(live.copy, RequestAborted{id});
   }
 
   bool finish(Live& live, Answer answer) {
@@ -156,10 +156,11 @@
     std::vector<Action> actions;
     copies_[copy]->handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) begin(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) finish(*live_.at(refuse->id), Answer::kRefused);
-      if (const auto* fail = std::get_if<Fail>(&action)) finish(*live_.at(fail->id), Answer::kFailed);
-      if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) begin(*send);
+      if (const auto* refuse = std::get_if<RejectRequest>(&action))
+        finish(*live_.at(refuse->id), Answer::kRefused);
+      if (const auto* fail = std::get_if<FailRequest>(&action)) finish(*live_.at(fail->id), Answer::kFailed);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         const std::string id = cancel->id;
         const int attempt = cancel->attempt;
         at(now_, [this, id, attempt] { ended(id, attempt, Outcome::kCancelled); });
@@ -167,7 +168,7 @@
     }
   }
 
-  void begin(const Send& send) {
+  void begin(const SendAttempt& send) {
     const std::string id = send.id;
     Live& live = *live_.at(id);
     const std::size_t tier = static_cast<std::size_t>(live.tier);
@@ -175,21 +176,21 @@
     ++counts_.sends[tier];
     if (attempt > 0 && !live.tries.back()->undialled) ++counts_.further[tier];
     auto t = std::make_shared<Try>();
-    t->server = std::stoul(send.server.substr(1));
+    t->server = std::stoul(send.endpoint.substr(1));
     t->sent = now_;
     live.tries.push_back(t);
     at(now_ + send.timeout, [this, id, attempt] { ended(id, attempt, Outcome::kTimedOut); });
     const std::optional<Outcome> failure = setup_.failure(live.tier, now_, chance());
     const double left = send.timeout;
-    t->undialled = failure == Outcome::kDialFailed;
+    t->undialled = failure == Outcome::kConnectFailed;
     if (t->undialled) ++counts_.dials[tier];
     if (failure == Outcome::kTimedOut) return;
-    if (failure == Outcome::kDialFailed || failure == Outcome::kRejected) {
-      const double after = failure == Outcome::kDialFailed ? setup_.dial_limit : own_work();
+    if (failure == Outcome::kConnectFailed || failure == Outcome::kRejected) {
+      const double after = failure == Outcome::kConnectFailed ? setup_.dial_limit : own_work();
       return at(now_ + after, [this, id, attempt, failure] { ended(id, attempt, *failure); });
     }
     if (failure) return at(now_ + own_work(), [this, id, attempt, failure] { ended(id, attempt, *failure); });
-    ServerState& server = servers_[tier][t->server];
+    EndpointState& server = servers_[tier][t->server];
     const int slots = setup_.slots_at.empty() ? setup_.slots : setup_.slots_at[tier];
     const auto serve = [this, id, attempt, t, left] { work(id, attempt, *t, live_.at(id)->tier, left); };
     if (server.busy < slots) {
@@ -208,7 +209,7 @@
   void work(const std::string& id, int attempt, Try& t, int tier, double left) {
     at(now_ + own_work(), [this, id, attempt, tier, left, &t] {
       const auto done = [this, id, attempt, tier, server = t.server](bool well) {
-        ended(id, attempt, well ? Outcome::kDelivered : Outcome::kError);
+        ended(id, attempt, well ? Outcome::kSuccess : Outcome::kServerError);
         free_slot(tier, server);
       };
       const double still = left - (now_ - t.sent);
@@ -220,7 +221,7 @@
   }
 
   void free_slot(int tier, std::size_t server) {
-    ServerState& s = servers_[static_cast<std::size_t>(tier)][server];
+    EndpointState& s = servers_[static_cast<std::size_t>(tier)][server];
     if (s.waiting.empty()) {
       --s.busy;
       return;
@@ -234,7 +235,7 @@
     const std::shared_ptr<Live> live = live_.at(id);
     const std::shared_ptr<Try> t = live->tries[static_cast<std::size_t>(attempt)];
     if (!std::exchange(t->open, false)) return;
-    if (outcome == Outcome::kDelivered) {
+    if (outcome == Outcome::kSuccess) {
       ++counts_.answered[static_cast<std::size_t>(live->tier)];
       finish(*live, Answer::kServed);
     }
@@ -249,7 +250,7 @@
   double now_ = 0;
   std::map<std::pair<double, std::uint64_t>, std::function<void()>> events_;
   std::vector<std::unique_ptr<Balancer>> copies_;
-  std::vector<std::vector<ServerState>> servers_;
+  std::vector<std::vector<EndpointState>> servers_;
   std::map<std::string, std::shared_ptr<Live>> live_;  // kept to the end of the run
   Counts counts_;
 };
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -1,5 +1,5 @@
 // Cold servers before many copies: what all of them send together stays under N + 2 x root of N + 2 in any
-// window of tip_after, N being what the settings allow then. Plays are named by what they add to a calm
+// window of overload_window, N being what the settings allow then. Plays are named by what they add to a calm
 // fleet; each is played with several seeds.
 #include <gtest/gtest.h>
 
@@ -10,7 +10,7 @@
 
 struct Fleet {
   const char* name;
-  double start_capacity, ramp_time, tip_multiple, tip_after;
+  double slow_start_capacity, slow_start_duration, overload_multiple, overload_window;
 };
 constexpr Fleet kSettings[] = {{"as on the site", 0.14, 22, 3, 2},
                                {"a low multiple", 0.1, 30, 1.5, 4},
@@ -19,10 +19,10 @@
 
 Play of(const Fleet& f, int copies, int cold, int tier) {
   Play p;
-  p.start_capacity = f.start_capacity;
-  p.ramp_time = f.ramp_time;
-  p.tip_multiple = f.tip_multiple;
-  p.tip_after = f.tip_after;
+  p.slow_start_capacity = f.slow_start_capacity;
+  p.slow_start_duration = f.slow_start_duration;
+  p.overload_multiple = f.overload_multiple;
+  p.overload_window = f.overload_window;
   p.copies = copies;
   p.cold = cold;
   p.tier = tier;
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -8,20 +8,20 @@
 int main() {
   asterdrift::balancer::Settings settings;
   asterdrift::balancer::RequestClass lookup;
-  lookup.aim = 0.5;
-  lookup.give_up = 2;
-  lookup.effect = asterdrift::balancer::Effect::kSafe;
+  lookup.latency_objective = 0.5;
+  lookup.timeout = 2;
+  lookup.idempotency = asterdrift::balancer::Idempotency::kIdempotent;
   settings.classes = {lookup};
   settings.max_attempts = 3;
 
   asterdrift::balancer::Balancer balancer(settings, 42);
   std::vector<asterdrift::balancer::Action> actions;
-  asterdrift::balancer::MembershipUpdate members;
-  members.servers.push_back({.address = "10.0.0.1:80"});
+  asterdrift::balancer::EndpointUpdate members;
+  members.endpoints.push_back({.address = "10.0.0.1:80"});
   balancer.handle(0.0, members, actions);
   balancer.handle(0.1, asterdrift::balancer::Request{.id = "r1", .time_left = 2}, actions);
   for (const asterdrift::balancer::Action& action : actions) {
-    if (const auto* send = std::get_if<asterdrift::balancer::Send>(&action)) {
+    if (const auto* send = std::get_if<asterdrift::balancer::SendAttempt>(&action)) {
       std::cout << send->id << " -> " << send->server << ", time-out " << send->timeout << " s\n";
       return 0;
     }
--- a/tests/depth_test.cpp
+++ b/tests/depth_test.cpp
@@ -20,11 +20,11 @@
   Outcome outcome;
   const char* name;
 };
-constexpr Sort kSorts[] = {{Outcome::kError, "error"},
+constexpr Sort kSorts[] = {{Outcome::kServerError, "error"},
                            {Outcome::kRejected, "refused"},
-                           {Outcome::kReset, "reset"},
+                           {Outcome::kConnectionReset, "reset"},
                            {Outcome::kTimedOut, "timed out"},
-                           {Outcome::kDialFailed, "dial failed"}};
+                           {Outcome::kConnectFailed, "dial failed"}};
 
 struct Share {
   double part;
@@ -55,7 +55,7 @@
   for (const bool told : {true, false}) {
     for (const Share& share : shares) {
       for (const Sort& sort : kSorts) {
-        if (!told && sort.outcome != Outcome::kError) continue;  // the limits differ, not the budgets
+        if (!told && sort.outcome != Outcome::kServerError) continue;  // the limits differ, not the budgets
         const ChainModel::Setup setup = setup_of(where, sort.outcome, share.part, told);
         const ChainModel::Counts counts = ChainModel(setup).run();
         int most_work = 0, most_dials = 0;
--- a/tests/error_limit_test.cpp
+++ b/tests/error_limit_test.cpp
@@ -22,8 +22,8 @@
     for (int i = 0; i < count; ++i) {
       copy.now = ++calls / 120.0;
       const std::string id = std::to_string(calls);
-      if (all<Send>(copy.request(id)).empty()) continue;
-      copy.end(id, every_so > 0 && i % every_so == 0 ? outcome : Outcome::kDelivered);
+      if (all<SendAttempt>(copy.request(id)).empty()) continue;
+      copy.end(id, every_so > 0 && i % every_so == 0 ? outcome : Outcome::kSuccess);
     }
   };
   feed(20 * 120, 0);
@@ -33,14 +33,14 @@
 }
 
 TEST(ErrorLimit, ErrorsAndBrokenConnectionsNeitherLowerNorRaiseIt) {
-  for (const Outcome outcome : {Outcome::kError, Outcome::kReset, Outcome::kUnknown}) {
+  for (const Outcome outcome : {Outcome::kServerError, Outcome::kConnectionReset, Outcome::kUnknown}) {
     EXPECT_GE(moved(outcome, 3), 1);         // what is answered between them may raise it
     EXPECT_DOUBLE_EQ(moved(outcome, 1), 1);  // errors alone do not
   }
 }
 
 TEST(ErrorLimit, RefusalsTimeoutsAndFailedConnectionsLowerIt) {
-  for (const Outcome outcome : {Outcome::kRejected, Outcome::kTimedOut, Outcome::kDialFailed}) {
+  for (const Outcome outcome : {Outcome::kRejected, Outcome::kTimedOut, Outcome::kConnectFailed}) {
     EXPECT_LT(moved(outcome, 3), 0.9);
   }
 }
@@ -48,8 +48,8 @@
 // Danger: the limit fell with each error, and a tier with room for all turned most of its calls away.
 TEST(ErrorLimit, HalfOfTheCallsInErrorLeaveTheOthersServed) {
   for (const int tier : {0, 1}) {
-    for (const Effect effect : {Effect::kSafe, Effect::kUnsafe}) {
-      for (const Outcome outcome : {Outcome::kError, Outcome::kReset}) {
+    for (const Idempotency effect : {Idempotency::kIdempotent, Idempotency::kNotIdempotent}) {
+      for (const Outcome outcome : {Outcome::kServerError, Outcome::kConnectionReset}) {
         ChainModel::Setup setup;
         setup.tiers = tier + 1;
         setup.servers = 8;
--- a/tests/event_stream.h
+++ b/tests/event_stream.h
@@ -22,9 +22,9 @@
     servers_.resize(most_);
     for (std::size_t i = 0; i < most_; ++i) renew(servers_[i]);
     take(Started{});
-    MembershipUpdate all;
+    EndpointUpdate all;
     for (const Known& k : servers_) {
-      if (k.told.state == ServerState::kReady) all.servers.push_back(k.told);
+      if (k.told.state == EndpointState::kReady) all.endpoints.push_back(k.told);
     }
     take(all);
   }
@@ -39,14 +39,14 @@
 
  private:
   struct Known {
-    Server told;
+    Endpoint told;
     double answer_time = 0.1, fails = 0;
   };
   struct Try {
     std::string id;
     int attempt = 0;
     double sent = 0, ends = 0;
-    Outcome outcome = Outcome::kDelivered;
+    Outcome outcome = Outcome::kSuccess;
   };
 
   std::uint64_t next() {
@@ -57,20 +57,20 @@
   double unit() { return static_cast<double>(below(1 << 20)) / (1 << 20); }
 
   static Settings settings_of(std::uint64_t seed) {
-    Settings s = basic_settings(class_of(Effect::kKeyed, DedupScope::kCell));
-    s.classes.push_back(class_of(Effect::kSafe));
-    s.classes.push_back(class_of(Effect::kKeyed, DedupScope::kZone));
-    s.classes.push_back(class_of(Effect::kKeyed, DedupScope::kAll));
-    s.classes.push_back(class_of(Effect::kUnsafe));
-    s.copy_count = std::vector{1, 3, 8, 40, 300}[seed % 5];
-    s.copy_index = static_cast<int>(seed * 7 % static_cast<std::uint64_t>(s.copy_count));
+    Settings s = basic_settings(class_of(Idempotency::kIdempotencyKey, DedupScope::kCell));
+    s.classes.push_back(class_of(Idempotency::kIdempotent));
+    s.classes.push_back(class_of(Idempotency::kIdempotencyKey, DedupScope::kZone));
+    s.classes.push_back(class_of(Idempotency::kIdempotencyKey, DedupScope::kAll));
+    s.classes.push_back(class_of(Idempotency::kNotIdempotent));
+    s.replica_count = std::vector{1, 3, 8, 40, 300}[seed % 5];
+    s.replica_index = static_cast<int>(seed * 7 % static_cast<std::uint64_t>(s.replica_count));
     s.tier = seed % 3 == 2 ? 1 : 0;
     s.zone = static_cast<int>(seed % 4);
-    s.cross_zone_price = seed % 2 == 0 ? 0.02 : 0;
+    s.cross_zone_cost = seed % 2 == 0 ? 0.02 : 0;
     s.tenants = {{40.0}, {3.0}, {}};
-    s.must_watch = seed % 7 == 3;
-    s.start_capacity = 0.2;
-    s.ramp_time = 8;
+    s.requires_watch = seed % 7 == 3;
+    s.slow_start_capacity = 0.2;
+    s.slow_start_duration = 8;
     return s;
   }
 
@@ -79,8 +79,8 @@
     k.told.cell = static_cast<int>(below(6));
     k.told.zone = k.told.cell / 2;
     k.told.weight = 0.3 + unit();
-    k.told.started = below(2) == 0 ? 0 : now_;
-    k.told.state = below(4) > 0 ? ServerState::kReady : ServerState::kGone;
+    k.told.started_at = below(2) == 0 ? 0 : now_;
+    k.told.state = below(4) > 0 ? EndpointState::kReady : EndpointState::kRemoved;
     k.answer_time = 0.05 + unit() / 4;
     k.fails = below(12) == 0 ? 0.7 : 0.01;
   }
@@ -90,7 +90,7 @@
     while (!tries_.empty() && tries_.begin()->first <= now_) {
       const Try t = tries_.begin()->second;
       tries_.erase(tries_.begin());
-      take(AttemptResult{t.id, t.attempt, t.outcome, now_ - t.sent, t.outcome == Outcome::kDelivered});
+      take(AttemptResult{t.id, t.attempt, t.outcome, now_ - t.sent, t.outcome == Outcome::kSuccess});
     }
     const std::size_t kind = below(200);
     if (kind < 150) {
@@ -99,11 +99,11 @@
       r.tenant = below(3);
       r.request_class = below(5);
       r.time_left = 0.5 + 5 * unit();
-      r.arriving = below(20) == 0;
+      r.body_arriving = below(20) == 0;
       take(r);
-      if (r.arriving) take(AttemptOut{r.id, 0});
+      if (r.body_arriving) take(RequestBodySent{r.id, 0});
     } else if (kind < 155) {
-      take(RequestGone{std::to_string(requests_ - 1 - below(std::min<std::size_t>(requests_, 20)))});
+      take(RequestAborted{std::to_string(requests_ - 1 - below(std::min<std::size_t>(requests_, 20)))});
     } else if (kind < 158) {
       for (Known& k : servers_) {  // an illness that many share, or its end
         if (below(3) == 0) k.answer_time = below(2) == 0 ? 30 : 0.1;
@@ -112,45 +112,45 @@
       list();
     }
     if (below(50) == 0) {
-      const MembersView seen = copy_.balancer.members(now_);
+      const EndpointSetView seen = copy_.balancer.endpoints(now_);
       note(seen.listed);
-      note(seen.avoided);
+      note(seen.unavailable);
     }
   }
 
   // Changes: drains, ends, restarts, moves of zones, new ones; at times as a whole list, or as no list.
   void list() {
-    MembershipUpdate update;
-    update.form = MembershipUpdate::Form::kChanges;
+    EndpointUpdate update;
+    update.form = EndpointUpdate::Form::kIncremental;
     for (std::size_t left = below(30) == 0 ? 40 : 1 + below(3); left > 0; --left) {
       Known& k = servers_[below(most_)];
       const std::size_t what = below(8);
       if (what < 2) {
-        k.told.state = ServerState::kDraining;
+        k.told.state = EndpointState::kDraining;
       } else if (what < 4) {
-        k.told.state = ServerState::kGone;
+        k.told.state = EndpointState::kRemoved;
       } else if (what < 6) {
-        k.told.state = ServerState::kReady;
-        if (below(2) == 0) k.told.started = now_;
+        k.told.state = EndpointState::kReady;
+        if (below(2) == 0) k.told.started_at = now_;
       } else if (what < 7) {
         k.told.weight = 0.3 + unit();
         k.told.zone = static_cast<int>(below(4));
       } else {
-        const Server old = k.told;
+        const Endpoint old = k.told;
         renew(k);
-        update.servers.push_back(old);
-        update.servers.back().state = ServerState::kGone;
+        update.endpoints.push_back(old);
+        update.endpoints.back().state = EndpointState::kRemoved;
       }
-      update.servers.push_back(k.told);
-      if (below(4) == 0) update.servers.push_back(k.told);
+      update.endpoints.push_back(k.told);
+      if (below(4) == 0) update.endpoints.push_back(k.told);
     }
     if (below(6) == 0) {
-      update = MembershipUpdate();
+      update = EndpointUpdate();
       for (const Known& k : servers_) {
-        if (k.told.state != ServerState::kGone) update.servers.push_back(k.told);
+        if (k.told.state != EndpointState::kRemoved) update.endpoints.push_back(k.told);
       }
     } else if (below(20) == 0) {
-      update = {MembershipUpdate::Form::kFailed, {}};
+      update = {EndpointUpdate::Form::kWatchFailed, {}};
     }
     take(update);
   }
@@ -162,14 +162,14 @@
     }
   }
 
-  void done(const Send& s) {
+  void done(const SendAttempt& s) {
     note(s.id);
-    note(s.server);
+    note(s.endpoint);
     note(s.timeout);
     note(std::isfinite(s.write_within) ? s.write_within : -1);
     ++sends_;
     const auto k = std::find_if(servers_.begin(), servers_.end(),
-                                [&](const Known& known) { return known.told.address == s.server; });
+                                [&](const Known& known) { return known.told.address == s.endpoint; });
     Try t;
     t.id = s.id;
     t.attempt = attempts_[s.id]++;
@@ -177,8 +177,8 @@
     t.sent = now_;
     double takes = k == servers_.end() ? 0.01 : k->answer_time * (0.5 + unit());
     if (k == servers_.end() || unit() < k->fails) {
-      constexpr Outcome kEnds[] = {Outcome::kError,      Outcome::kRejected, Outcome::kReset,
-                                   Outcome::kDialFailed, Outcome::kNotSent,  Outcome::kUnknown};
+      constexpr Outcome kEnds[] = {Outcome::kServerError,   Outcome::kRejected, Outcome::kConnectionReset,
+                                   Outcome::kConnectFailed, Outcome::kNotSent,  Outcome::kUnknown};
       t.outcome = kEnds[below(6)];
       takes = 0.02;
     } else if (takes > s.timeout) {
@@ -188,7 +188,7 @@
     t.ends = now_ + takes;
     tries_.emplace(t.ends, t);
   }
-  void done(const Cancel& c) {
+  void done(const CancelAttempt& c) {
     note(c.id);
     for (auto& [ends, t] : tries_) {
       if (t.id == c.id && t.attempt == c.attempt) t.outcome = Outcome::kCancelled;
@@ -198,9 +198,9 @@
     note(t.at);
     take(TimerFired{t.token});
   }
-  void done(const Refuse& r) { note(r.id); }
-  void done(const Fail& f) { note(f.id); }
-  void done(const WatchMembers&) {}
+  void done(const RejectRequest& r) { note(r.id); }
+  void done(const FailRequest& f) { note(f.id); }
+  void done(const WatchEndpoints&) {}
   void done(const LogLine& l) { note(l.text); }
 
   void note(std::uint64_t value) {
--- a/tests/fleet_model.h
+++ b/tests/fleet_model.h
@@ -32,7 +32,7 @@
   double unit_rate = 20;                                           // calls/s that a server of size 1 answers
   double load = 0.6, burst = 1, burst_after = 0.5, burst_for = 6;  // the burst begins so long after the start
   double allowances = 0.82;                                        // of the capacity
-  double start_capacity = 0.14, ramp_time = 22, tip_multiple = 3, tip_after = 2;
+  double slow_start_capacity = 0.14, slow_start_duration = 22, overload_multiple = 3, overload_window = 2;
   double cold_at = 12, end = 26;
   bool back = false;                 // the cold servers come back after a crash, else they are new
   double list_spread = 2;            // the copies hear of a start up to so much later, each at its own time
@@ -55,7 +55,7 @@
 struct Counts {
   Window calls, work;     // the worst ones; work in requests of mean work
   Window early;           // calls against what it bore when the window began
-  double cold_calls = 0;  // to a cold server in its first ramp_time, all of them together
+  double cold_calls = 0;  // to a cold server in its first slow_start_duration, all of them together
   double cold_part = 0;   // of what its sure capacity could have done
   int asked = 0, answered = 0, in_time = 0, refused = 0, failed = 0, sends = 0;
 };
@@ -100,7 +100,7 @@
     double work = 0, sent = 0;
   };
   struct StandIn {
-    Server told;
+    Endpoint told;
     double rate = 0;  // calls/s when warm
     int cores = 1, busy = 0;
     std::size_t room = 0;
@@ -156,27 +156,28 @@
 
   void make_copies() {
     Settings s;
-    RequestClass keyed = class_of(Effect::kKeyed), unsafe = class_of(Effect::kUnsafe);
-    keyed.aim = 0.86;
-    keyed.give_up = 2.2;
+    RequestClass keyed = class_of(Idempotency::kIdempotencyKey),
+                 unsafe = class_of(Idempotency::kNotIdempotent);
+    keyed.latency_objective = 0.86;
+    keyed.timeout = 2.2;
     keyed.dedup_window = 2.5;
-    unsafe.aim = 1.9;
-    unsafe.give_up = 4.7;
+    unsafe.latency_objective = 1.9;
+    unsafe.timeout = 4.7;
     s.classes = {keyed, unsafe};
-    s.copy_count = play_.copies;
+    s.replica_count = play_.copies;
     s.tier = play_.tier;
-    s.tick = 0.005;
+    s.clock_granularity = 0.005;
     s.tenants = {{0.66 * play_.allowances * capacity_}, {0.34 * play_.allowances * capacity_}};
-    s.over_share_worth = 0.1;
+    s.over_quota_priority_weight = 0.1;
     s.max_attempts = 5;
-    s.second_copies = s.can_cancel = true;
+    s.hedging_allowed = s.cancel_allowed = true;
     s.max_retry_after = 2;
-    s.start_capacity = play_.start_capacity;
-    s.ramp_time = play_.ramp_time;
-    s.tip_multiple = play_.tip_multiple;
-    s.tip_after = play_.tip_after;
+    s.slow_start_capacity = play_.slow_start_capacity;
+    s.slow_start_duration = play_.slow_start_duration;
+    s.overload_multiple = play_.overload_multiple;
+    s.overload_window = play_.overload_window;
     for (int c = 0; c < play_.copies; ++c) {
-      s.copy_index = c;
+      s.replica_index = c;
       add_copy(s);
     }
   }
@@ -194,10 +195,10 @@
   // A process starts: its first list is what discovery has now, a start of just now included.
   void open(std::size_t c) {
     apply(c, Started{});
-    MembershipUpdate list;
+    EndpointUpdate list;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
       if (servers_[i].down) continue;
-      list.servers.push_back(servers_[i].told);
+      list.endpoints.push_back(servers_[i].told);
       copies_[c].knows[i] = servers_[i].cold_from >= 0;
     }
     apply(c, list);
@@ -209,7 +210,7 @@
       StandIn& s = servers_[i];
       s.down = false;
       s.cold_from = now_;
-      s.told.started = now_;
+      s.told.started_at = now_;
       for (std::size_t c = 0; c < copies_.size(); ++c) {
         at(now_ + play_.first_hear + play_.list_spread * unit(), [this, c, i] { tell(c, i); });
       }
@@ -227,9 +228,9 @@
   void tell(std::size_t c, std::size_t i) {
     if (!copies_[c].alive || copies_[c].knows[i]) return;
     copies_[c].knows[i] = true;
-    MembershipUpdate m;
-    m.form = MembershipUpdate::Form::kChanges;
-    m.servers = {servers_[i].told};
+    EndpointUpdate m;
+    m.form = EndpointUpdate::Form::kIncremental;
+    m.endpoints = {servers_[i].told};
     apply(c, m);
   }
 
@@ -287,14 +288,14 @@
     r.tenant = client.tenant;
     r.request_class = request_class;
     r.time_left = client.until - now_;
-    r.is_repeat = client.tries > 0;
+    r.is_client_retry = client.tries > 0;
     ++client.tries;
     copies_[c].clients[r.id] = client;
     at(client.until, [this, c, id = r.id] {
       const auto it = copies_[c].clients.find(id);
       if (it == copies_[c].clients.end()) return;
       it->second.closed = true;
-      if (copies_[c].alive) apply(c, RequestGone{id});
+      if (copies_[c].alive) apply(c, RequestAborted{id});
     });
     apply(c, r);
   }
@@ -319,25 +320,25 @@
     std::vector<Action> out;
     copies_[c].balancer->handle(now_, event, out);
     for (const Action& action : out) {
-      if (const auto* send = std::get_if<Send>(&action)) sent(c, *send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) sent(c, *send);
+      if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
         ++counts_.refused;
         answered(c, refuse->id, refuse->retry_after);
       }
-      if (const auto* fail = std::get_if<Fail>(&action)) {
+      if (const auto* fail = std::get_if<FailRequest>(&action)) {
         ++counts_.failed;
         answered(c, fail->id, 0);
       }
-      if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         at(now_, [this, c, stop = *cancel] { result(c, stop.id, stop.attempt, Outcome::kCancelled, now_); });
       }
     }
   }
 
-  void sent(std::size_t c, const Send& send) {
+  void sent(std::size_t c, const SendAttempt& send) {
     ++counts_.sends;
     Client& client = copies_[c].clients.at(send.id);
-    const auto i = static_cast<std::size_t>(std::stoi(send.server.substr(1)));
+    const auto i = static_cast<std::size_t>(std::stoi(send.endpoint.substr(1)));
     const int attempt = static_cast<int>(client.at.size());
     client.at[attempt] = i;
     Job job{c, send.id, attempt, client.work, now_};
@@ -355,7 +356,7 @@
     const auto out = client.at.find(attempt);
     if (out == client.at.end() || out->second == kEnded) return;
     out->second = kEnded;
-    const bool done = outcome == Outcome::kDelivered;
+    const bool done = outcome == Outcome::kSuccess;
     if (done && !client.closed) {
       client.closed = true;
       ++counts_.answered;
@@ -369,8 +370,9 @@
 
   double capacity_part(const StandIn& s, double when) const {
     if (s.cold_from < 0) return 1;
-    return std::min(1.0, play_.start_capacity + (1 - play_.start_capacity) *
-                                                    std::max(0.0, when - s.cold_from) / play_.ramp_time);
+    return std::min(1.0, play_.slow_start_capacity + (1 - play_.slow_start_capacity) *
+                                                         std::max(0.0, when - s.cold_from) /
+                                                         play_.slow_start_duration);
   }
 
   void answer(const Job& job, Outcome outcome) {
@@ -380,15 +382,15 @@
 
   void arrive(std::size_t i, const Job& job) {
     StandIn& s = servers_[i];
-    if (s.down) return answer(job, Outcome::kDialFailed);
+    if (s.down) return answer(job, Outcome::kConnectFailed);
     if (s.cold_from >= 0) s.arrived.push_back({now_, job.work, copies_[job.copy].knows[i]});
     switch (s.trouble) {
       case Trouble::kNoDial:
-        return answer(job, Outcome::kDialFailed);
+        return answer(job, Outcome::kConnectFailed);
       case Trouble::kRefusing:
         return answer(job, Outcome::kRejected);
       case Trouble::kFailing:
-        return answer(job, Outcome::kError);
+        return answer(job, Outcome::kServerError);
       case Trouble::kSilent:
         if (now_ > play_.cold_at - 2) return;
         break;
@@ -410,9 +412,9 @@
     if (s.trouble == Trouble::kPausing && std::fmod(now_, 3.0) < 0.4) takes += 0.4 - std::fmod(now_, 3.0);
     at(now_ + takes, [this, i, job, life = s.life] {
       StandIn& done = servers_[i];
-      if (done.life != life) return answer(job, Outcome::kReset);
+      if (done.life != life) return answer(job, Outcome::kConnectionReset);
       --done.busy;
-      answer(job, Outcome::kDelivered);
+      answer(job, Outcome::kSuccess);
       if (done.waiting.empty()) return;
       const Job next = done.waiting.front();
       done.waiting.pop_front();
@@ -426,7 +428,7 @@
     double could = 0;
     for (const std::size_t i : cold_) {
       const StandIn& s = servers_[i];
-      const double span = std::min(play_.ramp_time, play_.end - play_.cold_at);
+      const double span = std::min(play_.slow_start_duration, play_.end - play_.cold_at);
       could += s.rate * span * (capacity_part(s, s.cold_from) + capacity_part(s, s.cold_from + span)) / 2;
       std::size_t first = 0;
       double work = 0, told = 0, told_work = 0;
@@ -435,18 +437,20 @@
         work += a.work;
         told += a.told ? 1 : 0;
         told_work += a.told ? a.work : 0;
-        for (; s.arrived[first].at <= a.at - play_.tip_after; ++first) {
+        for (; s.arrived[first].at <= a.at - play_.overload_window; ++first) {
           work -= s.arrived[first].work;
           told -= s.arrived[first].told ? 1 : 0;
           told_work -= s.arrived[first].told ? s.arrived[first].work : 0;
         }
-        const double from = std::max(s.cold_from, a.at - play_.tip_after);
-        if (a.at > s.cold_from + play_.ramp_time) break;
+        const double from = std::max(s.cold_from, a.at - play_.overload_window);
+        if (a.at > s.cold_from + play_.slow_start_duration) break;
         ++counts_.cold_calls;
-        const double n = play_.tip_multiple * play_.tip_after * s.rate * capacity_part(s, (from + a.at) / 2);
+        const double n =
+            play_.overload_multiple * play_.overload_window * s.rate * capacity_part(s, (from + a.at) / 2);
         const double calls = static_cast<double>(last - first + 1);
         if (told * 3 > calls * 2) {
-          const double least = play_.tip_multiple * play_.tip_after * s.rate * capacity_part(s, from);
+          const double least =
+              play_.overload_multiple * play_.overload_window * s.rate * capacity_part(s, from);
           note(counts_.calls, n, calls, a.at - s.cold_from);
           note(counts_.early, least, calls, a.at - s.cold_from);
         }
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -10,36 +10,36 @@
 
 namespace asterdrift::balancer {
 
-inline RequestClass class_of(Effect effect, DedupScope scope = DedupScope::kCell) {
+inline RequestClass class_of(Idempotency effect, DedupScope scope = DedupScope::kCell) {
   RequestClass c;
-  c.aim = 2;
-  c.give_up = 6;
-  c.effect = effect;
+  c.latency_objective = 2;
+  c.timeout = 6;
+  c.idempotency = effect;
   c.dedup_scope = scope;
   c.dedup_window = 4;
   return c;
 }
 
-inline Settings basic_settings(RequestClass c = class_of(Effect::kSafe)) {
+inline Settings basic_settings(RequestClass c = class_of(Idempotency::kIdempotent)) {
   Settings s;
   s.classes = {c};
   s.max_attempts = 4;
-  s.can_cancel = true;
+  s.cancel_allowed = true;
   s.max_retry_after = 2;
   return s;
 }
 
-inline Server server(int n, int zone = 0, int cell = 0) {
-  Server s;
+inline Endpoint server(int n, int zone = 0, int cell = 0) {
+  Endpoint s;
   s.address = "s" + std::to_string(n);
   s.zone = zone;
   s.cell = cell;
   return s;
 }
 
-inline MembershipUpdate members(int count) {
-  MembershipUpdate m;
-  for (int i = 0; i < count; ++i) m.servers.push_back(server(i));
+inline EndpointUpdate members(int count) {
+  EndpointUpdate m;
+  for (int i = 0; i < count; ++i) m.endpoints.push_back(server(i));
   return m;
 }
 
@@ -61,7 +61,7 @@
     return at(now, r);
   }
   std::vector<Action> end(const std::string& id, Outcome outcome, int attempt = 0, double elapsed = 0.1) {
-    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kDelivered});
+    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSuccess});
   }
 
   Balancer balancer;
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -23,10 +23,11 @@
   for (int i = 0; i < static_cast<int>(seconds * rate); ++i) {
     copy.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
-    if (!sends.empty()) ++firsts[sends[0].server];
+    auto sends = all<SendAttempt>(copy.request(id));
+    if (!sends.empty()) ++firsts[sends[0].endpoint];
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(copy.end(id, sends[0].server == sick ? outcome : Outcome::kDelivered, attempt));
+      sends =
+          all<SendAttempt>(copy.end(id, sends[0].endpoint == sick ? outcome : Outcome::kSuccess, attempt));
     }
   }
   return firsts;
@@ -36,9 +37,9 @@
 TEST(Health, AFastFailingServerIsShunnedAndComesBack) {
   Copy copy(roomy_settings());
   copy.at(0, members(6));
-  const auto ill = play(copy, "s2", Outcome::kError, 0, 10, 50, "a");
+  const auto ill = play(copy, "s2", Outcome::kServerError, 0, 10, 50, "a");
   EXPECT_LT(ill.at("s2"), 25);
-  const auto back = play(copy, "", Outcome::kDelivered, 10, 30, 50, "b");
+  const auto back = play(copy, "", Outcome::kSuccess, 10, 30, 50, "b");
   EXPECT_GT(back.at("s2"), 100);
 }
 
@@ -50,10 +51,10 @@
   for (int i = 0; i < 400; ++i) {
     copy.now = i * 0.5;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<SendAttempt>(copy.request(id));
     if (sends.empty()) continue;
-    ++used[sends[0].server];
-    copy.end(id, Outcome::kDelivered, 0, sends[0].server == "s1" ? 0.4 : 0.1);
+    ++used[sends[0].endpoint];
+    copy.end(id, Outcome::kSuccess, 0, sends[0].endpoint == "s1" ? 0.4 : 0.1);
   }
   EXPECT_GT(used["s0"], 80);
   EXPECT_LT(used["s1"], 50);
@@ -62,20 +63,20 @@
 
 // Danger: a silent server was judged only when its calls ended, for unsafe classes at the end of their time.
 TEST(Health, ASilentServerIsSparedBeforeItsCallsEnd) {
-  Copy copy(basic_settings(class_of(Effect::kUnsafe)));
+  Copy copy(basic_settings(class_of(Idempotency::kNotIdempotent)));
   copy.at(0, members(4));
   int silent = 0;
   for (int i = 0; i < 160; ++i) {
     copy.now = i * 0.25;
     const std::string id = std::to_string(i);
-    const auto sends = all<Send>(copy.request(id));
+    const auto sends = all<SendAttempt>(copy.request(id));
     if (sends.empty()) continue;
-    if (sends[0].server != "s1") {
-      copy.end(id, Outcome::kDelivered, 0, 0.1);
+    if (sends[0].endpoint != "s1") {
+      copy.end(id, Outcome::kSuccess, 0, 0.1);
     } else if (i >= 80) {
       ++silent;
     } else {
-      copy.end(id, Outcome::kDelivered, 0, 0.1);
+      copy.end(id, Outcome::kSuccess, 0, 0.1);
     }
   }
   EXPECT_LE(silent, 4);
@@ -89,38 +90,38 @@
   for (int i = 0; i < 200; ++i) {
     copy.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<SendAttempt>(copy.request(id));
     sent += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt)
-      sends = all<Send>(copy.end(id, Outcome::kError, attempt));
+      sends = all<SendAttempt>(copy.end(id, Outcome::kServerError, attempt));
   }
   EXPECT_EQ(sent, 200);
 }
 
 TEST(Health, ItsViewNamesWhatItAvoids) {
   Copy copy(basic_settings());
-  MembershipUpdate list = members(5);
-  list.servers[4].state = ServerState::kDraining;
+  EndpointUpdate list = members(5);
+  list.endpoints[4].state = EndpointState::kDraining;
   copy.at(0, list);
-  EXPECT_EQ(copy.balancer.members(0).listed, 5U);
-  EXPECT_EQ(copy.balancer.members(0).avoided, 1U) << "the one that drains";
+  EXPECT_EQ(copy.balancer.endpoints(0).listed, 5U);
+  EXPECT_EQ(copy.balancer.endpoints(0).unavailable, 1U) << "the one that drains";
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     copy.now += 0.02;
-    const std::vector<Send> sent = all<Send>(copy.request(id));
+    const std::vector<SendAttempt> sent = all<SendAttempt>(copy.request(id));
     ASSERT_FALSE(sent.empty());
-    const std::vector<Send> again =
-        all<Send>(copy.end(id, sent[0].server == "s2" ? Outcome::kError : Outcome::kDelivered));
-    if (!again.empty()) copy.end(id, Outcome::kDelivered, 1);
+    const std::vector<SendAttempt> again =
+        all<SendAttempt>(copy.end(id, sent[0].endpoint == "s2" ? Outcome::kServerError : Outcome::kSuccess));
+    if (!again.empty()) copy.end(id, Outcome::kSuccess, 1);
   }
-  EXPECT_EQ(copy.balancer.members(copy.now).avoided, 2U) << "and the one that fails";
-  EXPECT_EQ(copy.balancer.members(copy.now + 60).avoided, 1U) << "which is tried again some day";
-  MembershipUpdate gone;
-  gone.form = MembershipUpdate::Form::kChanges;
-  gone.servers = {server(4)};
-  gone.servers[0].state = ServerState::kGone;
+  EXPECT_EQ(copy.balancer.endpoints(copy.now).unavailable, 2U) << "and the one that fails";
+  EXPECT_EQ(copy.balancer.endpoints(copy.now + 60).unavailable, 1U) << "which is tried again some day";
+  EndpointUpdate gone;
+  gone.form = EndpointUpdate::Form::kIncremental;
+  gone.endpoints = {server(4)};
+  gone.endpoints[0].state = EndpointState::kRemoved;
   copy.at(copy.now, gone);
-  EXPECT_EQ(copy.balancer.members(copy.now).listed, 4U);
+  EXPECT_EQ(copy.balancer.endpoints(copy.now).listed, 4U);
 }
 
 TEST(Health, FurtherAttemptsHaveABudget) {
@@ -131,10 +132,10 @@
   for (int i = 0; i < 300; ++i) {
     copy.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<Send>(copy.request(id));
+    auto sends = all<SendAttempt>(copy.request(id));
     firsts += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<Send>(copy.end(id, Outcome::kError, attempt));
+      sends = all<SendAttempt>(copy.end(id, Outcome::kServerError, attempt));
       others += static_cast<int>(sends.size());
     }
   }
@@ -145,10 +146,10 @@
 TEST(Health, AFurtherAttemptGoesElsewhere) {
   Copy copy(basic_settings());
   copy.at(0, members(3));
-  const auto first = all<Send>(copy.request("r"));
-  const auto second = all<Send>(copy.end("r", Outcome::kReset));
+  const auto first = all<SendAttempt>(copy.request("r"));
+  const auto second = all<SendAttempt>(copy.end("r", Outcome::kConnectionReset));
   ASSERT_EQ(second.size(), 1U);
-  EXPECT_NE(first[0].server, second[0].server);
+  EXPECT_NE(first[0].endpoint, second[0].endpoint);
 }
 
 // Danger: calls to a server that has stopped answering wait for nothing, and behind each other.
@@ -160,8 +161,8 @@
   for (int i = 0; i < 300; ++i) {
     copy.now = i * 0.01;
     const auto actions = copy.request(std::to_string(i));
-    sent += static_cast<int>(all<Send>(actions).size());
-    refused += static_cast<int>(all<Refuse>(actions).size());
+    sent += static_cast<int>(all<SendAttempt>(actions).size());
+    refused += static_cast<int>(all<RejectRequest>(actions).size());
   }
   EXPECT_EQ(sent + refused, 300);
   EXPECT_GT(sent, 3);
@@ -174,9 +175,9 @@
   Request r;
   r.id = id;
   r.time_left = 6;
-  r.arriving = true;
-  const std::vector<Send> sent = all<Send>(copy.at(copy.now, r));
-  return sent.empty() ? "" : sent[0].server;
+  r.body_arriving = true;
+  const std::vector<SendAttempt> sent = all<SendAttempt>(copy.at(copy.now, r));
+  return sent.empty() ? "" : sent[0].endpoint;
 }
 
 TEST(Room, WhatIsStillArrivingIsNoWorkYet) {
@@ -185,22 +186,22 @@
   int sent = 0;
   for (int i = 0; i < 500; ++i) sent += arriving(copy, std::to_string(i)).empty() ? 0 : 1;
   EXPECT_EQ(sent, 500) << "slow clients shut nobody out";
-  for (int i = 0; i < 500; ++i) copy.at(1, AttemptOut{std::to_string(i), 0});
-  EXPECT_TRUE(all<Send>(copy.request("next")).empty()) << "from there on the servers have them";
+  for (int i = 0; i < 500; ++i) copy.at(1, RequestBodySent{std::to_string(i), 0});
+  EXPECT_TRUE(all<SendAttempt>(copy.request("next")).empty()) << "from there on the servers have them";
   for (int i = 0; i < 500; ++i) copy.end(std::to_string(i), Outcome::kCancelled);
-  EXPECT_FALSE(all<Send>(copy.request("after")).empty());
+  EXPECT_FALSE(all<SendAttempt>(copy.request("after")).empty());
 }
 
 TEST(Room, ASlotThatHasGoneToAnotherServerIsNotCharged) {
   Copy copy(basic_settings());
   copy.at(0, members(1));
   ASSERT_EQ(arriving(copy, "a"), "s0");
-  MembershipUpdate next;
-  next.servers = {server(1)};
+  EndpointUpdate next;
+  next.endpoints = {server(1)};
   copy.at(0, next);
-  copy.at(1, AttemptOut{"a", 0});
-  copy.end("a", Outcome::kError);
-  for (int i = 0; i < 3; ++i) EXPECT_FALSE(all<Send>(copy.request("b" + std::to_string(i))).empty());
+  copy.at(1, RequestBodySent{"a", 0});
+  copy.end("a", Outcome::kServerError);
+  for (int i = 0; i < 3; ++i) EXPECT_FALSE(all<SendAttempt>(copy.request("b" + std::to_string(i))).empty());
 }
 
 TEST(Room, ALargeAnswerCountsFromItsFirstByte) {
@@ -209,11 +210,11 @@
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     copy.now += 0.05;
-    ASSERT_FALSE(all<Send>(copy.request(id)).empty()) << i;
-    copy.at(copy.now, AnswerStarted{id, 0, 0.1});
-    if (i >= 100) copy.end(std::to_string(i - 100), Outcome::kDelivered, 0, 5);  // it took long to pass
+    ASSERT_FALSE(all<SendAttempt>(copy.request(id)).empty()) << i;
+    copy.at(copy.now, ResponseStarted{id, 0, 0.1});
+    if (i >= 100) copy.end(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // it took long to pass
   }
-  EXPECT_EQ(copy.balancer.members(copy.now).avoided, 0U);
+  EXPECT_EQ(copy.balancer.endpoints(copy.now).unavailable, 0U);
 }
 
 TEST(Timeouts, WhatHasGoneOutAndIsNotKeptIsNotSentAgain) {
@@ -221,10 +222,10 @@
     Copy copy(basic_settings());
     copy.at(0, members(4));
     copy.request("a");
-    if (gone) copy.at(0, BodyGone{"a"});
-    const std::vector<Action> actions = copy.end("a", Outcome::kDialFailed);
-    EXPECT_EQ(all<Send>(actions).empty(), gone);
-    EXPECT_EQ(all<Refuse>(actions).size(), gone ? 1U : 0U) << "no server has begun it";
+    if (gone) copy.at(0, RequestBodyConsumed{"a"});
+    const std::vector<Action> actions = copy.end("a", Outcome::kConnectFailed);
+    EXPECT_EQ(all<SendAttempt>(actions).empty(), gone);
+    EXPECT_EQ(all<RejectRequest>(actions).size(), gone ? 1U : 0U) << "no server has begun it";
   }
 }
 
@@ -232,12 +233,12 @@
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
     Settings s = roomy_settings();
-    s.copy_index = index;
-    s.copy_count = 8;
+    s.replica_index = index;
+    s.replica_count = 8;
     Copy copy(s, static_cast<std::uint64_t>(index) + 1);
     copy.at(0, members(10));
     for (int i = 0; i < 100; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++held[send.server];
+      for (const SendAttempt& send : all<SendAttempt>(copy.request(std::to_string(i)))) ++held[send.endpoint];
     }
   }
   EXPECT_EQ(held.size(), 10U);
@@ -250,7 +251,7 @@
   s.tier = 1;
   Copy copy(s);
   copy.at(0, members(3));
-  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<Send>(copy.request(std::to_string(i))).size(), 1U);
+  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<SendAttempt>(copy.request(std::to_string(i))).size(), 1U);
 }
 
 // A copy of many, with its part of the fleet's calls. They come at uneven times, answered late or never.
@@ -261,7 +262,7 @@
 
 FleetDay fleet_day(int copies, int servers, double rate, double answer_time, double seconds) {
   Settings s = basic_settings();
-  s.copy_count = copies;
+  s.replica_count = copies;
   s.tenants = {{rate * copies}};
   Copy copy(s);
   copy.at(0, members(servers));
@@ -275,14 +276,14 @@
   std::multimap<double, End> due;
   std::uint64_t draw = 7;
   const auto sends = [&](const std::vector<Action>& actions, int number, int attempt) {
-    for (const Send& send : all<Send>(actions)) {
+    for (const SendAttempt& send : all<SendAttempt>(actions)) {
       const double took = answer_time * (number % 4 == 0 ? 2.5 : 0.5);  // one in four is a long one
       const bool late = took >= send.timeout;
       const double ends = std::min(took, send.timeout);
       due.emplace(copy.now + ends,
-                  End{send.id, attempt, ends, late ? Outcome::kTimedOut : Outcome::kDelivered});
+                  End{send.id, attempt, ends, late ? Outcome::kTimedOut : Outcome::kSuccess});
     }
-    return static_cast<int>(all<Send>(actions).size());
+    return static_cast<int>(all<SendAttempt>(actions).size());
   };
   double now = 0;
   for (int i = 0; now < seconds; ++i) {
@@ -296,7 +297,7 @@
     }
     copy.now = now;
     const auto actions = copy.request(std::to_string(i));
-    day.refused += static_cast<int>(all<Refuse>(actions).size());
+    day.refused += static_cast<int>(all<RejectRequest>(actions).size());
     day.sent += sends(actions, i, 0);
   }
   return day;
@@ -342,13 +343,13 @@
 TEST(Timeouts, FollowTheObservedLatency) {
   Copy copy(basic_settings());
   copy.at(0, members(4));
-  const double before = all<Send>(copy.request("first"))[0].timeout;
+  const double before = all<SendAttempt>(copy.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
     copy.now = i * 0.1;
     copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered, 0, 0.05);
+    copy.end(std::to_string(i), Outcome::kSuccess, 0, 0.05);
   }
-  const double after = all<Send>(copy.request("last"))[0].timeout;
+  const double after = all<SendAttempt>(copy.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
--- a/tests/late_dial_test.cpp
+++ b/tests/late_dial_test.cpp
@@ -10,9 +10,9 @@
 int attempts(Copy& copy, const std::string& id, const std::vector<Outcome>& ends) {
   int sent = 0;
   auto actions = copy.request(id);
-  while (!all<Send>(actions).empty()) {
+  while (!all<SendAttempt>(actions).empty()) {
     const auto at = static_cast<std::size_t>(sent);
-    actions = copy.end(id, at < ends.size() ? ends[at] : Outcome::kDelivered, sent);
+    actions = copy.end(id, at < ends.size() ? ends[at] : Outcome::kSuccess, sent);
     ++sent;
   }
   return sent;
@@ -33,7 +33,7 @@
   Copy copy = copy_with_servers();
   for (int i = 0; i < 60; ++i) {
     copy.now = 0.2 * i;
-    EXPECT_EQ(attempts(copy, "d" + std::to_string(i), {Outcome::kDialFailed}), 2) << i;
+    EXPECT_EQ(attempts(copy, "d" + std::to_string(i), {Outcome::kConnectFailed}), 2) << i;
   }
 }
 
@@ -43,7 +43,8 @@
   int repeats = 0;
   for (int i = 0; i < 60; ++i) {
     copy.now = 0.2 * i;
-    const int sent = attempts(copy, "e" + std::to_string(i), {Outcome::kDialFailed, Outcome::kError});
+    const int sent =
+        attempts(copy, "e" + std::to_string(i), {Outcome::kConnectFailed, Outcome::kServerError});
     EXPECT_GE(sent, 2) << i;
     repeats += sent - 2;
   }
@@ -54,7 +55,7 @@
 // Where no connection comes up at all, the attempts allowed for one request are the bound.
 TEST(LateDial, FailedDialsEndWithTheAttemptsAllowed) {
   Copy copy = copy_with_servers();
-  const std::vector<Outcome> never(10, Outcome::kDialFailed);
+  const std::vector<Outcome> never(10, Outcome::kConnectFailed);
   for (int i = 0; i < 20; ++i) {
     copy.now = 0.2 * i;
     EXPECT_EQ(attempts(copy, "n" + std::to_string(i), never), 4) << i;
--- a/tests/list_reader_test.cpp
+++ b/tests/list_reader_test.cpp
@@ -15,7 +15,7 @@
 namespace asterdrift::node {
 namespace {
 
-using asterdrift::balancer::ServerState;
+using asterdrift::balancer::EndpointState;
 using Seen = ListReader::Seen;
 
 const std::vector<std::string> kZones = {"a", "b"};
@@ -67,7 +67,7 @@
         EXPECT_TRUE(l.whole);
         ASSERT_EQ(l.servers.size(), 2U) << list;
         EXPECT_EQ(l.servers[0].facts.address, "s}]\"");
-        EXPECT_EQ(l.servers[0].facts.state, ServerState::kDraining);
+        EXPECT_EQ(l.servers[0].facts.state, EndpointState::kDraining);
         EXPECT_EQ(l.servers[1].facts.address, "s1");
         EXPECT_EQ(l.servers[1].facts.zone, 1);
       }
@@ -218,16 +218,16 @@
 }
 
 // The longest time that the module waits, however often calls have failed, on a clock of its own.
-double longest_wait(double ask_within) {
+double longest_wait(double poll_within) {
   asterdrift::balancer::Settings s = asterdrift::balancer::basic_settings();
-  s.must_watch = true;
-  s.ask_within = ask_within;
+  s.requires_watch = true;
+  s.poll_within = poll_within;
   double longest = 0, shortest = 1000;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     asterdrift::balancer::Copy copy(s, seed);
     copy.at(0, asterdrift::balancer::Started{});
-    asterdrift::balancer::MembershipUpdate failed;
-    failed.form = asterdrift::balancer::MembershipUpdate::Form::kFailed;
+    asterdrift::balancer::EndpointUpdate failed;
+    failed.form = asterdrift::balancer::EndpointUpdate::Form::kWatchFailed;
     for (double now = 0; now < 20;) {
       const auto timers = asterdrift::balancer::all<asterdrift::balancer::SetTimer>(copy.at(now, failed));
       EXPECT_EQ(timers.size(), 1U);
--- a/tests/mechanism_test.cpp
+++ b/tests/mechanism_test.cpp
@@ -34,16 +34,16 @@
 
 // Calls at a steady rate, each answered at once; returns how many were admitted.
 int offer(Copy& copy, double from, double seconds, double rate, const std::string& prefix,
-          Outcome outcome = Outcome::kDelivered) {
+          Outcome outcome = Outcome::kSuccess) {
   int admitted = 0;
   const int calls = static_cast<int>(seconds * rate);
   for (int i = 0; i < calls; ++i) {
     copy.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    if (all<Send>(copy.request(id)).empty()) continue;
+    if (all<SendAttempt>(copy.request(id)).empty()) continue;
     ++admitted;
     const auto after = copy.end(id, outcome);
-    for (const Send& again : all<Send>(after)) copy.end(again.id, Outcome::kDelivered, 1);
+    for (const SendAttempt& again : all<SendAttempt>(after)) copy.end(again.id, Outcome::kSuccess, 1);
   }
   return admitted;
 }
@@ -57,7 +57,7 @@
 
 TEST(Admission, AboveTheLimitTheRestIsDeniedSmoothly) {
   Settings s = one_tenant(10);
-  s.over_share_worth = 0;  // the limit stays where it starts
+  s.over_quota_priority_weight = 0;  // the limit stays where it starts
   Copy copy(s);
   copy.at(0, members(4));
   const double limit = copy.balancer.tenant(0, 0).rate_limit;
@@ -77,7 +77,7 @@
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
     copy.now = i / flood;
-    const bool sent = !all<Send>(copy.request("r" + std::to_string(i))).empty();
+    const bool sent = !all<SendAttempt>(copy.request("r" + std::to_string(i))).empty();
     if (i > flood * 0.9 && sent) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
@@ -97,7 +97,7 @@
 // The factor is kept for 100 ms: a flood within that time is met with the factor from before it.
 TEST(Admission, TheFactorIsCached) {
   Settings s = one_tenant(100);
-  s.over_share_worth = 0;
+  s.over_quota_priority_weight = 0;
   Copy copy(s);
   copy.at(0, members(4));
   const double limit = copy.balancer.tenant(0, 0).rate_limit;
@@ -107,9 +107,9 @@
     for (int i = 0; i < calls; ++i) {
       copy.now = time;
       const std::string id = prefix + std::to_string(i);
-      if (all<Send>(copy.request(id)).empty()) continue;
+      if (all<SendAttempt>(copy.request(id)).empty()) continue;
       ++admitted;
-      copy.end(id, Outcome::kDelivered);
+      copy.end(id, Outcome::kSuccess);
     }
     return admitted;
   };
@@ -127,9 +127,9 @@
   for (int i = 0; i < 900; ++i) {
     copy.now = 0.001 * i;
     const auto actions = copy.request("r" + std::to_string(i));
-    EXPECT_EQ(all<Refuse>(actions).size() + all<Send>(actions).size(), 1U);
-    refused += static_cast<int>(all<Refuse>(actions).size());
-    if (!all<Send>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kDelivered);
+    EXPECT_EQ(all<RejectRequest>(actions).size() + all<SendAttempt>(actions).size(), 1U);
+    refused += static_cast<int>(all<RejectRequest>(actions).size());
+    if (!all<SendAttempt>(actions).empty()) copy.end("r" + std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_GT(refused, 300);
   EXPECT_EQ(copy.balancer.tenant(copy.now, 0).declined, refused);
@@ -159,15 +159,15 @@
 // Danger: of a few calls one is always slow; a copy of many that was cut for it denied a third of a calm day.
 TEST(Limit, FewSlowCallsDoNotCutACopyOfManyBelowItsPart) {
   Settings s = one_tenant(8 * 20);
-  s.copy_count = 20;
+  s.replica_count = 20;
   Copy copy(s);
   copy.at(0, members(16));
   int denied = 0;
   for (int i = 0; i < 480; ++i) {  // its part, 8 a second; every sixth is answered late in its aim
     copy.now = i / 8.0;
     const std::string id = std::to_string(i);
-    denied += static_cast<int>(all<Refuse>(copy.request(id)).size());
-    copy.end(id, Outcome::kDelivered, 0, i % 6 == 0 ? 1.5 : 0.3);
+    denied += static_cast<int>(all<RejectRequest>(copy.request(id)).size());
+    copy.end(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
   }
   EXPECT_EQ(denied, 0);
 }
@@ -195,8 +195,8 @@
       for (int i = 0; i < 1200; ++i) {  // every sixth is answered late in its aim
         copy.now = i / 20.0;
         const std::string id = std::to_string(i);
-        denied += static_cast<int>(all<Refuse>(copy.request(id)).size());
-        copy.end(id, Outcome::kDelivered, 0, i % 6 == 0 ? 1.5 : 0.3);
+        denied += static_cast<int>(all<RejectRequest>(copy.request(id)).size());
+        copy.end(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
       }
       EXPECT_LT(denied, 60) << "tier " << tier;
     }
@@ -215,7 +215,7 @@
 // Danger: a limit that an overload had pushed under the tenant's part stayed there for the rest of the day.
 TEST(Limit, AnOverloadDoesNotPushACopyOfManyBelowItsPart) {
   Settings s = one_tenant(400);
-  s.copy_count = 400;
+  s.replica_count = 400;
   Copy copy(s);
   copy.at(0, members(4));
   offer(copy, 0, 60, 3, "a", Outcome::kRejected);
@@ -225,19 +225,19 @@
 TEST(Subset, ACrowdedZoneUsesOtherZonesToo) {
   const auto far_share = [](double near_answer) {
     Settings s = basic_settings();
-    s.cross_zone_price = 0.01;
+    s.cross_zone_cost = 0.01;
     Copy copy(s);
-    MembershipUpdate m;
-    for (int i = 0; i < 12; ++i) m.servers.push_back(server(i, i % 2));
+    EndpointUpdate m;
+    for (int i = 0; i < 12; ++i) m.endpoints.push_back(server(i, i % 2));
     copy.at(0, m);
     int far = 0;
     for (int i = 0; i < 600; ++i) {
       copy.now = i * 0.5;
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(copy.request(id))) {
-        const bool crossed = (send.server.back() - '0') % 2 == 1;
+      for (const SendAttempt& send : all<SendAttempt>(copy.request(id))) {
+        const bool crossed = (send.endpoint.back() - '0') % 2 == 1;
         far += crossed ? 1 : 0;
-        copy.end(id, Outcome::kDelivered, 0, crossed ? 0.12 : near_answer);
+        copy.end(id, Outcome::kSuccess, 0, crossed ? 0.12 : near_answer);
       }
     }
     return far / 600.0;
@@ -250,18 +250,18 @@
 TEST(Subset, AZoneTooSmallToChooseFromIsNotPreferred) {
   const auto local_share = [](int local) {
     Settings s = basic_settings();
-    s.cross_zone_price = 0.01;
+    s.cross_zone_cost = 0.01;
     Copy copy(s);
-    MembershipUpdate m;
-    for (int i = 0; i < 9; ++i) m.servers.push_back(server(i, i < local ? 0 : 1));
+    EndpointUpdate m;
+    for (int i = 0; i < 9; ++i) m.endpoints.push_back(server(i, i < local ? 0 : 1));
     copy.at(0, m);
     int near = 0;
     for (int i = 0; i < 600; ++i) {
       copy.now = i * 0.5;
       const std::string id = std::to_string(i);
-      for (const Send& send : all<Send>(copy.request(id))) {
-        near += send.server.back() - '0' < local ? 1 : 0;
-        copy.end(id, Outcome::kDelivered, 0, 0.1);
+      for (const SendAttempt& send : all<SendAttempt>(copy.request(id))) {
+        near += send.endpoint.back() - '0' < local ? 1 : 0;
+        copy.end(id, Outcome::kSuccess, 0, 0.1);
       }
     }
     return near / 600.0;
@@ -293,18 +293,18 @@
   for (const int copies : {3, 7, 12}) {
     for (int index = 0; index < copies; ++index) {
       Settings s = basic_settings();
-      s.copy_index = index;
-      s.copy_count = copies;
+      s.replica_index = index;
+      s.replica_count = copies;
       const auto used = [&](bool without_one) {
         Copy copy(s);
-        MembershipUpdate m = members(24);
-        if (without_one) m.servers.erase(m.servers.begin() + 5);
+        EndpointUpdate m = members(24);
+        if (without_one) m.endpoints.erase(m.endpoints.begin() + 5);
         copy.at(0, m);
         std::set<std::string> out;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
-          for (const Send& send : all<Send>(copy.request(id))) out.insert(send.server);
-          copy.end(id, Outcome::kDelivered);
+          for (const SendAttempt& send : all<SendAttempt>(copy.request(id))) out.insert(send.endpoint);
+          copy.end(id, Outcome::kSuccess);
         }
         return out;
       };
@@ -323,12 +323,13 @@
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
     Settings s = basic_settings();
-    s.copy_index = index;
-    s.copy_count = 2;
+    s.replica_index = index;
+    s.replica_count = 2;
     Copy copy(s);
     copy.at(0, members(40));
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) used.insert(send.server);
+      for (const SendAttempt& send : all<SendAttempt>(copy.request(std::to_string(i))))
+        used.insert(send.endpoint);
     }
   }
   EXPECT_EQ(used.size(), 40U);
@@ -340,7 +341,7 @@
   copy.at(0, members(2));
   std::map<std::string, int> held;
   for (int i = 0; i < 10; ++i) {
-    for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++held[send.server];
+    for (const SendAttempt& send : all<SendAttempt>(copy.request(std::to_string(i)))) ++held[send.endpoint];
   }
   EXPECT_EQ(held["s0"], 5);
   EXPECT_EQ(held["s1"], 5);
@@ -349,14 +350,14 @@
 // Danger: comparing sizes, a copy with nothing in flight gave every call to the largest server.
 TEST(Pick, SizeCountsInTheDraw) {
   Copy copy(basic_settings());
-  MembershipUpdate m = members(2);
-  m.servers[1].weight = 3;
+  EndpointUpdate m = members(2);
+  m.endpoints[1].weight = 3;
   copy.at(0, m);
   std::map<std::string, int> used;
   for (int i = 0; i < 400; ++i) {
     copy.now = i * 0.4;
-    for (const Send& send : all<Send>(copy.request(std::to_string(i)))) ++used[send.server];
-    copy.end(std::to_string(i), Outcome::kDelivered);
+    for (const SendAttempt& send : all<SendAttempt>(copy.request(std::to_string(i)))) ++used[send.endpoint];
+    copy.end(std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_NEAR(used["s0"], 100, 30);
   EXPECT_NEAR(used["s1"], 300, 30);
@@ -368,7 +369,8 @@
     copy.at(5, members(12));
     std::string out;
     for (int i = 0; i < 200; ++i) {
-      for (const Send& send : all<Send>(copy.request(std::to_string(i)))) out += send.server + " ";
+      for (const SendAttempt& send : all<SendAttempt>(copy.request(std::to_string(i))))
+        out += send.endpoint + " ";
     }
     return out;
   };
@@ -390,36 +392,37 @@
   const auto names = [&](auto change, const char* field) {
     EXPECT_NE(message(change).find(field), std::string::npos) << field << ": " << message(change);
   };
-  names([](Settings& s) { s.copy_count = 0; }, "copy_count");
-  names([](Settings& s) { s.copy_index = 1; }, "copy_index");
-  names([](Settings& s) { s.copy_index = -1; }, "copy_index");
-  names([](Settings& s) { s.tick = -1; }, "tick");
+  names([](Settings& s) { s.replica_count = 0; }, "replica_count");
+  names([](Settings& s) { s.replica_index = 1; }, "replica_index");
+  names([](Settings& s) { s.replica_index = -1; }, "replica_index");
+  names([](Settings& s) { s.clock_granularity = -1; }, "clock_granularity");
   names([](Settings& s) { s.tier = -1; }, "tier");
   names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
   names([](Settings& s) { s.max_retry_after = -1; }, "max_retry_after");
-  names([](Settings& s) { s.ask_within = -1; }, "ask_within");
-  names([](Settings& s) { s.ramp_time = -1; }, "ramp_time");
-  names([](Settings& s) { s.over_share_worth = -1; }, "over_share_worth");
-  names([](Settings& s) { s.start_capacity = 1.5; }, "start_capacity");
-  names([](Settings& s) { s.classes[0].effect = static_cast<Effect>(9); }, "effect");
+  names([](Settings& s) { s.poll_within = -1; }, "poll_within");
+  names([](Settings& s) { s.slow_start_duration = -1; }, "slow_start_duration");
+  names([](Settings& s) { s.over_quota_priority_weight = -1; }, "over_quota_priority_weight");
+  names([](Settings& s) { s.slow_start_capacity = 1.5; }, "slow_start_capacity");
+  names([](Settings& s) { s.classes[0].idempotency = static_cast<Idempotency>(9); }, "idempotency");
   names([](Settings& s) { s.classes[0].dedup_scope = static_cast<DedupScope>(9); }, "dedup_scope");
-  names([](Settings& s) { s.classes[0].aim = -1; }, "aim");
-  names([](Settings& s) { s.classes[0].give_up = -1; }, "give_up");
+  names([](Settings& s) { s.classes[0].latency_objective = -1; }, "latency_objective");
+  names([](Settings& s) { s.classes[0].timeout = -1; }, "timeout");
   names([](Settings& s) { s.classes[0].dedup_window = -1; }, "dedup_window");
-  names([](Settings& s) { s.tenants[0].allowance = -1; }, "allowance");
-  names([](Settings& s) { s.classes[0].aim = std::numeric_limits<double>::quiet_NaN(); }, "aim");
+  names([](Settings& s) { s.tenants[0].quota = -1; }, "quota");
+  names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
+        "latency_objective");
   EXPECT_EQ(message([](Settings&) {}), "accepted");
 }
 
 TEST(Settings, NumbersOutOfRangeAreHarmless) {
   Copy copy(basic_settings());
   copy.at(0, members(2));
-  EXPECT_EQ(all<Send>(copy.request("a", 77, 88)).size(), 1U);
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, 9).empty());
-  EXPECT_TRUE(copy.end("a", Outcome::kDelivered, -1).empty());
-  EXPECT_TRUE(copy.end("never", Outcome::kDelivered).empty());
+  EXPECT_EQ(all<SendAttempt>(copy.request("a", 77, 88)).size(), 1U);
+  EXPECT_TRUE(copy.end("a", Outcome::kSuccess, 9).empty());
+  EXPECT_TRUE(copy.end("a", Outcome::kSuccess, -1).empty());
+  EXPECT_TRUE(copy.end("never", Outcome::kSuccess).empty());
   EXPECT_TRUE(copy.at(0, TimerFired{12345}).empty());
-  EXPECT_TRUE(copy.at(0, RequestGone{"never"}).empty());
+  EXPECT_TRUE(copy.at(0, RequestAborted{"never"}).empty());
   EXPECT_GE(copy.balancer.tenant(0, 1234).rate_limit, 0);
 }
 
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -6,8 +6,8 @@
 namespace asterdrift::balancer {
 namespace {
 
-Server named(int n, ServerState state = ServerState::kReady) {
-  Server s;
+Endpoint named(int n, EndpointState state = EndpointState::kReady) {
+  Endpoint s;
   s.address = "s" + std::to_string(n);
   s.state = state;
   return s;
@@ -19,12 +19,12 @@
   Random random(1);
   for (int i = 0; i < 1000; ++i) {
     members.learn(named(i), i, 0, random);
-    if (i >= 3) members.learn(named(i - 3, ServerState::kGone), i, 0, random);
+    if (i >= 3) members.learn(named(i - 3, EndpointState::kRemoved), i, 0, random);
     members.forget_gone();
   }
   EXPECT_LE(members.size(), 5U);
   for (int i = 1000; i < 2000; ++i) {  // the same with whole lists
-    members.learn({MembershipUpdate::Form::kFull, {named(i)}}, i, 0, random);
+    members.learn({EndpointUpdate::Form::kSnapshot, {named(i)}}, i, 0, random);
   }
   EXPECT_LE(members.size(), 5U);
 }
@@ -35,7 +35,7 @@
   Random random(1);
   members.learn(named(0), 0, 0, random);
   members[0].in_flight = 1;
-  members.learn(named(0, ServerState::kGone), 1, 0, random);
+  members.learn(named(0, EndpointState::kRemoved), 1, 0, random);
   members.forget_gone();
   members.learn(named(1), 2, 0, random);
   EXPECT_EQ(members[0].told.address, "s0");
--- a/tests/membership_scale_test.cpp
+++ b/tests/membership_scale_test.cpp
@@ -33,31 +33,31 @@
 constexpr std::size_t kMostInOneCall = 600;    // servers looked at: 7 x kMostLooked, and to book the call
 constexpr std::size_t kMostInOneChange = 250;  // in five rankings, and to look at a small subset
 
-Server numbered(int n) {
-  Server s = server(n, n % 3, n % 500);
+Endpoint numbered(int n) {
+  Endpoint s = server(n, n % 3, n % 500);
   s.address += ".fleet.internal:8080";
   return s;
 }
 
-MembershipUpdate fleet(int count) {
-  MembershipUpdate m;
-  for (int i = 0; i < count; ++i) m.servers.push_back(numbered(i));
+EndpointUpdate fleet(int count) {
+  EndpointUpdate m;
+  for (int i = 0; i < count; ++i) m.endpoints.push_back(numbered(i));
   return m;
 }
 
-MembershipUpdate change(Server s, ServerState state = ServerState::kReady) {
+EndpointUpdate change(Endpoint s, EndpointState state = EndpointState::kReady) {
   s.state = state;
-  return {MembershipUpdate::Form::kChanges, {s}};
+  return {EndpointUpdate::Form::kIncremental, {s}};
 }
 
-Settings many_copies(RequestClass c = class_of(Effect::kSafe), int copies = 2000) {
+Settings many_copies(RequestClass c = class_of(Idempotency::kIdempotent), int copies = 2000) {
   Settings s = basic_settings(c);
-  s.copy_count = copies;
+  s.replica_count = copies;
   s.tier = 1;
   return s;
 }
 
-std::uint64_t looked(const Copy& copy) { return copy.balancer.members(copy.now).looked; }
+std::uint64_t looked(const Copy& copy) { return copy.balancer.endpoints(copy.now).examined; }
 
 // The digests are those of the module before it kept servers in rankings, which looked at all of them.
 TEST(MembershipScale, DecisionsOfSmallFleetsAreWhatTheyWere) {
@@ -78,13 +78,13 @@
 TEST(MembershipScale, AChangeCostsTheSameHoweverManyServersThereAre) {
   for (const int copies : {2000, 4}) {
     for (const int servers : {700, 7000, 27000}) {
-      Copy copy(many_copies(class_of(Effect::kSafe), copies));
+      Copy copy(many_copies(class_of(Idempotency::kIdempotent), copies));
       copy.at(0, fleet(servers));
       for (int i = 0; i < 600; ++i) {
         const std::size_t bytes = allocated;
         const std::uint64_t before = looked(copy);
         copy.at(1 + i, change(numbered(i / 2 * 7919 % servers),
-                              i % 2 == 0 ? ServerState::kDraining : ServerState::kReady));
+                              i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady));
         ASSERT_LE(looked(copy) - before, kMostInOneChange) << servers << " servers, change " << i;
         ASSERT_LE(allocated - bytes, 20000U) << servers << " servers, change " << i;
       }
@@ -95,13 +95,13 @@
 TEST(MembershipScale, ACallLooksAtABoundedNumberOfServersAlsoWhereNoneIsWell) {
   for (const int copies : {2000, 4}) {
     for (const int servers : {700, 7000, 27000}) {
-      Settings s = many_copies(class_of(Effect::kKeyed, DedupScope::kZone), copies);
+      Settings s = many_copies(class_of(Idempotency::kIdempotencyKey, DedupScope::kZone), copies);
       s.tier = copies == 4 ? 1 : 0;
-      s.start_capacity = 0.01;
-      s.ramp_time = 1e6;
+      s.slow_start_capacity = 0.01;
+      s.slow_start_duration = 1e6;
       Copy copy(s);
-      MembershipUpdate cold = fleet(servers);
-      for (Server& told : cold.servers) told.started = 1;
+      EndpointUpdate cold = fleet(servers);
+      for (Endpoint& told : cold.endpoints) told.started_at = 1;
       copy.at(1, cold);
       for (int i = 0; i < 500; ++i) {
         copy.now += 0.01;
@@ -109,10 +109,10 @@
         std::uint64_t before = looked(copy);
         std::vector<Action> actions = copy.request(id);
         ASSERT_LE(looked(copy) - before, kMostInOneCall);
-        for (int attempt = 0; !all<Send>(actions).empty(); ++attempt) {
+        for (int attempt = 0; !all<SendAttempt>(actions).empty(); ++attempt) {
           copy.now += 0.001;
           before = looked(copy);
-          actions = copy.end(id, Outcome::kReset, attempt);
+          actions = copy.end(id, Outcome::kConnectionReset, attempt);
           ASSERT_LE(looked(copy) - before, kMostInOneCall);
         }
       }
@@ -126,10 +126,10 @@
   for (int i = 0; i < 400; ++i) {
     copy.now += 0.01;
     copy.request(std::to_string(i));
-    copy.end(std::to_string(i), Outcome::kDelivered);
+    copy.end(std::to_string(i), Outcome::kSuccess);
   }
   const std::uint64_t before = looked(copy);
-  EXPECT_EQ(copy.balancer.members(copy.now).listed, 27000U);
+  EXPECT_EQ(copy.balancer.endpoints(copy.now).listed, 27000U);
   EXPECT_LE(looked(copy) - before, 60U);  // twice the 27 of its subset
 }
 
@@ -139,8 +139,8 @@
   for (int i = 0; i < calls; ++i) {
     copy.now += 0.01;
     const std::string id = "well" + std::to_string(i);
-    for (const Send& s : all<Send>(copy.request(id))) out.insert(s.server);
-    copy.end(id, Outcome::kDelivered);
+    for (const SendAttempt& s : all<SendAttempt>(copy.request(id))) out.insert(s.endpoint);
+    copy.end(id, Outcome::kSuccess);
   }
   return out;
 }
@@ -154,7 +154,7 @@
     if (what == std::string("draining")) {
       for (int i = 0; i < 7000; ++i) {
         if (subset.contains(numbered(i).address)) {
-          copy.at(copy.now, change(numbered(i), ServerState::kDraining));
+          copy.at(copy.now, change(numbered(i), EndpointState::kDraining));
         }
       }
     }
@@ -162,15 +162,15 @@
     for (int i = 0; i < 400; ++i) {
       copy.now += 0.01;
       const std::string id = what + std::to_string(i);
-      const std::vector<Send> sent = all<Send>(copy.request(id));
+      const std::vector<SendAttempt> sent = all<SendAttempt>(copy.request(id));
       ASSERT_EQ(sent.size(), 1U) << what;
-      const bool in_subset = subset.contains(sent[0].server);
+      const bool in_subset = subset.contains(sent[0].endpoint);
       (in_subset ? bad : well) += 1;
       if (what == std::string("silent") && in_subset) continue;
-      if (in_subset && !all<Send>(copy.end(id, Outcome::kError)).empty()) {
-        copy.end(id, Outcome::kDelivered, 1);
+      if (in_subset && !all<SendAttempt>(copy.end(id, Outcome::kServerError)).empty()) {
+        copy.end(id, Outcome::kSuccess, 1);
       } else {
-        copy.end(id, Outcome::kDelivered);
+        copy.end(id, Outcome::kSuccess);
       }
     }
     EXPECT_LE(bad, what == std::string("draining") ? 0 : 60) << what;
@@ -181,32 +181,32 @@
 // Danger: looks at random would miss the only server that may get the repeat.
 TEST(MembershipScale, AKeyedRepeatFindsTheOneServerOfItsCellOrZone) {
   for (const DedupScope scope : {DedupScope::kCell, DedupScope::kZone}) {
-    MembershipUpdate m = fleet(7000);
+    EndpointUpdate m = fleet(7000);
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
-    for (std::size_t i = 0; i < m.servers.size(); ++i) {
-      order.emplace_back(hash_of(m.servers[i].address), i);
+    for (std::size_t i = 0; i < m.endpoints.size(); ++i) {
+      order.emplace_back(hash_of(m.endpoints[i].address), i);
     }
     std::sort(order.begin(), order.end());
     // Copy 0 uses the first eight; one of them shares its cell and zone with one other, half the ring away.
-    Server& first = m.servers[order[0].second];
-    Server& other = m.servers[order[3500].second];
+    Endpoint& first = m.endpoints[order[0].second];
+    Endpoint& other = m.endpoints[order[3500].second];
     first.cell = other.cell = first.zone = other.zone = 9999;
-    Copy copy(many_copies(class_of(Effect::kKeyed, scope)));
+    Copy copy(many_copies(class_of(Idempotency::kIdempotencyKey, scope)));
     copy.at(0, m);
     int repeats = 0;
     for (int i = 0; i < 400; ++i) {
       copy.now += 0.5;
       const std::string id = std::to_string(i);
-      const std::vector<Send> sent = all<Send>(copy.request(id));
+      const std::vector<SendAttempt> sent = all<SendAttempt>(copy.request(id));
       ASSERT_EQ(sent.size(), 1U);
-      if (sent[0].server != first.address) {
-        copy.end(id, Outcome::kDelivered);
+      if (sent[0].endpoint != first.address) {
+        copy.end(id, Outcome::kSuccess);
         continue;
       }
-      const std::vector<Send> again = all<Send>(copy.end(id, Outcome::kReset));
+      const std::vector<SendAttempt> again = all<SendAttempt>(copy.end(id, Outcome::kConnectionReset));
       if (again.empty()) continue;  // no attempt left over
-      EXPECT_EQ(again[0].server, other.address);
-      copy.end(id, Outcome::kDelivered, 1);
+      EXPECT_EQ(again[0].endpoint, other.address);
+      copy.end(id, Outcome::kSuccess, 1);
       ++repeats;
     }
     EXPECT_GE(repeats, 10);
@@ -216,23 +216,23 @@
 // One of many can be used: each call looks at some, and the next ones at those that follow.
 TEST(MembershipScale, TheOneServerThatIsWarmIsFoundByLaterCalls) {
   Settings s = many_copies();
-  s.start_capacity = 0.001;
-  s.ramp_time = 1e9;
+  s.slow_start_capacity = 0.001;
+  s.slow_start_duration = 1e9;
   Copy copy(s);
-  MembershipUpdate m = fleet(7000);
-  for (std::size_t i = 1; i < m.servers.size(); ++i) m.servers[i].started = 1;
+  EndpointUpdate m = fleet(7000);
+  for (std::size_t i = 1; i < m.endpoints.size(); ++i) m.endpoints[i].started_at = 1;
   copy.at(1, m);
   int calls = 0, served = 0;
   for (int i = 0; i < 300; ++i) {
     copy.now += 0.01;
     const std::string id = std::to_string(i);
     const std::uint64_t before = looked(copy);
-    const std::vector<Send> sent = all<Send>(copy.request(id));
+    const std::vector<SendAttempt> sent = all<SendAttempt>(copy.request(id));
     if (looked(copy) - before >= 4 * kMostLooked)
       ++calls;  // others are turned away before a server is sought
     if (sent.empty()) continue;
-    copy.end(id, Outcome::kDelivered);
-    EXPECT_EQ(sent[0].server, m.servers[0].address);
+    copy.end(id, Outcome::kSuccess);
+    EXPECT_EQ(sent[0].endpoint, m.endpoints[0].address);
     ++served;
   }
   EXPECT_GE(calls, 100);
@@ -242,13 +242,13 @@
 // ---------------------------------------------------------------- against a plain list
 
 struct PlainList {
-  std::map<std::string, Server> known;
+  std::map<std::string, Endpoint> known;
 
-  void learn(const MembershipUpdate& update) {
-    if (update.form == MembershipUpdate::Form::kFull) known.clear();
-    for (const Server& s : update.servers) {
+  void learn(const EndpointUpdate& update) {
+    if (update.form == EndpointUpdate::Form::kSnapshot) known.clear();
+    for (const Endpoint& s : update.endpoints) {
       known[s.address] = s;
-      if (s.state == ServerState::kGone) known.erase(s.address);
+      if (s.state == EndpointState::kRemoved) known.erase(s.address);
     }
   }
 
@@ -256,7 +256,7 @@
   std::vector<std::string> ready(const Fits& fits) const {
     std::vector<std::pair<std::uint64_t, std::string>> order;
     for (const auto& [address, s] : known) {
-      if (s.state == ServerState::kReady && fits(s)) order.emplace_back(hash_of(address), address);
+      if (s.state == EndpointState::kReady && fits(s)) order.emplace_back(hash_of(address), address);
     }
     std::sort(order.begin(), order.end());
     std::vector<std::string> out;
@@ -282,28 +282,30 @@
   explicit Changes(std::uint64_t seed) : random_(seed) {}
 
   // A few, sometimes many, sometimes all. Two names have the same upper half of their hash.
-  MembershipUpdate next(const PlainList& list) {
-    MembershipUpdate update;
-    update.form = MembershipUpdate::Form::kChanges;
+  EndpointUpdate next(const PlainList& list) {
+    EndpointUpdate update;
+    update.form = EndpointUpdate::Form::kIncremental;
     const std::size_t kind = random_.below(40);
     const std::size_t count = kind == 0 ? 400 : kind < 3 ? 90 : 1 + random_.below(4);
     for (std::size_t i = 0; i < count; ++i) {
       static const int kAlike[] = {59298, 69998};
-      Server s =
+      Endpoint s =
           server(random_.below(50) == 0 ? kAlike[random_.below(2)] : static_cast<int>(random_.below(900)));
       s.zone = static_cast<int>(random_.below(3));
       s.cell = static_cast<int>(random_.below(12)) - 1;
       s.weight = random_.below(3) == 0 ? 0 : 0.5 + random_.unit();
-      s.started = static_cast<double>(random_.below(2));
+      s.started_at = static_cast<double>(random_.below(2));
       const std::size_t state = random_.below(grow_ ? 8 : 3);
-      s.state = state == 0 ? ServerState::kGone : state == 1 ? ServerState::kDraining : ServerState::kReady;
-      update.servers.push_back(s);
+      s.state = state == 0   ? EndpointState::kRemoved
+                : state == 1 ? EndpointState::kDraining
+                             : EndpointState::kReady;
+      update.endpoints.push_back(s);
     }
     if (random_.below(60) == 0) grow_ = !grow_;
     if (random_.below(30) == 0) {
-      update.form = MembershipUpdate::Form::kFull;
+      update.form = EndpointUpdate::Form::kSnapshot;
       for (const auto& [address, s] : list.known) {
-        if (random_.below(20) > 0) update.servers.push_back(s);
+        if (random_.below(20) > 0) update.endpoints.push_back(s);
       }
     }
     return update;
@@ -317,32 +319,32 @@
 TEST(MembershipScale, RankingsAndSubsetAreThoseOfAPlainList) {
   std::size_t most = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    Settings s = many_copies(class_of(Effect::kSafe), seed % 2 == 0 ? 90 : 25);
-    s.copy_index = static_cast<int>(seed) * 3;
+    Settings s = many_copies(class_of(Idempotency::kIdempotent), seed % 2 == 0 ? 90 : 25);
+    s.replica_index = static_cast<int>(seed) * 3;
     s.zone = 1;
-    s.cross_zone_price = seed % 3 == 0 ? 0 : 0.02;
+    s.cross_zone_cost = seed % 3 == 0 ? 0 : 0.02;
     Members members(s.zone);
     Subset subset;
     PlainList list;
     Changes changes(seed);
     Random random(seed);
     for (int step = 0; step < 250; ++step) {
-      const MembershipUpdate update = changes.next(list);
+      const EndpointUpdate update = changes.next(list);
       members.learn(update, step, 0, random);
       list.learn(update);
       subset.choose(s, members);
-      const auto any = list.ready([](const Server&) { return true; });
+      const auto any = list.ready([](const Endpoint&) { return true; });
       most = std::max(most, any.size());
       ASSERT_EQ(names(members, members.all()), any);
-      const auto far = list.ready([](const Server& t) { return t.zone != 1; });
+      const auto far = list.ready([](const Endpoint& t) { return t.zone != 1; });
       ASSERT_EQ(names(members, members.far()), far);
       for (int zone = 0; zone < 3; ++zone) {
         ASSERT_EQ(names(members, members.of_zone(zone)),
-                  list.ready([=](const Server& t) { return t.zone == zone; }));
+                  list.ready([=](const Endpoint& t) { return t.zone == zone; }));
       }
       for (int cell = -2; cell < 12; ++cell) {
         ASSERT_EQ(names(members, members.of_cell(cell)),
-                  list.ready([=](const Server& t) { return t.cell == cell; }));
+                  list.ready([=](const Endpoint& t) { return t.cell == cell; }));
       }
       double weight = 0;
       for (const std::string& address : any) {
@@ -351,16 +353,16 @@
       ASSERT_NEAR(members.ready_weight(), weight, 1e-9);
       ASSERT_EQ(members.view([](const ServerNode&) { return false; }).listed, list.known.size());
 
-      const auto local = list.ready([](const Server& t) { return t.zone == 1; });
-      ASSERT_EQ(subset.stays(), s.cross_zone_price > 0 && local.size() >= kLeastLocal);
+      const auto local = list.ready([](const Endpoint& t) { return t.zone == 1; });
+      ASSERT_EQ(subset.stays(), s.cross_zone_cost > 0 && local.size() >= kLeastLocal);
       std::vector<std::string> expected;
       std::vector<std::vector<std::string>> parts = {any};
       if (subset.stays()) parts = {local, far};
       for (const std::vector<std::string>& from : parts) {
-        const auto count = static_cast<std::size_t>(s.copy_count);
+        const auto count = static_cast<std::size_t>(s.replica_count);
         const std::size_t size = std::max(kSubset, (kCover * from.size() + count - 1) / count);
         for (const std::size_t at :
-             subset_of(static_cast<std::size_t>(s.copy_index), count, from.size(), size)) {
+             subset_of(static_cast<std::size_t>(s.replica_index), count, from.size(), size)) {
           expected.push_back(from[at]);
         }
       }
@@ -385,8 +387,8 @@
   Subset subset;
   Random random(1);
   members.learn(fleet(3000), 0, 0, random);
-  Settings s = many_copies(class_of(Effect::kSafe), 1);
-  s.cross_zone_price = 0.02;
+  Settings s = many_copies(class_of(Idempotency::kIdempotent), 1);
+  s.cross_zone_cost = 0.02;
   subset.choose(s, members);
   ASSERT_EQ(subset.size(), 3000U);
   std::map<std::uint32_t, int> seen;
@@ -423,30 +425,31 @@
 
 TEST(MembershipScale, NoCallGoesToAServerThatDrainsOrIsGone) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    Settings s = many_copies(class_of(Effect::kKeyed, DedupScope::kCell), seed % 2 == 0 ? 300 : 5);
-    s.cross_zone_price = seed > 2 ? 0.02 : 0;
+    Settings s =
+        many_copies(class_of(Idempotency::kIdempotencyKey, DedupScope::kCell), seed % 2 == 0 ? 300 : 5);
+    s.cross_zone_cost = seed > 2 ? 0.02 : 0;
     Copy copy(s, seed);
     PlainList list;
     Changes changes(seed);
     Random random(seed);
     std::size_t sends = 0;
     const auto check = [&](const std::vector<Action>& actions) {
-      for (const Send& send : all<Send>(actions)) {
+      for (const SendAttempt& send : all<SendAttempt>(actions)) {
         ++sends;
-        const auto it = list.known.find(send.server);
-        ASSERT_TRUE(it != list.known.end() && it->second.state == ServerState::kReady) << send.server;
+        const auto it = list.known.find(send.endpoint);
+        ASSERT_TRUE(it != list.known.end() && it->second.state == EndpointState::kReady) << send.endpoint;
       }
     };
     for (int step = 0; step < 4000; ++step) {
       copy.now += 0.02;
       if (random.below(4) == 0) {
-        const MembershipUpdate update = changes.next(list);
+        const EndpointUpdate update = changes.next(list);
         list.learn(update);
         copy.at(copy.now, update);
       }
       check(copy.request(std::to_string(step)));
       const std::string late = std::to_string(step - static_cast<int>(random.below(30)));
-      const Outcome outcome = random.below(3) == 0 ? Outcome::kReset : Outcome::kDelivered;
+      const Outcome outcome = random.below(3) == 0 ? Outcome::kConnectionReset : Outcome::kSuccess;
       for (int attempt = 0; attempt < 3; ++attempt) check(copy.end(late, outcome, attempt, 0.1));
     }
     EXPECT_GT(sends, 3000U);
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -13,19 +13,19 @@
 
 class Walk {
  public:
-  Walk(std::uint64_t seed, Effect effect, DedupScope scope, bool ask)
+  Walk(std::uint64_t seed, Idempotency effect, DedupScope scope, bool ask)
       : state_(seed), effect_(effect), scope_(scope) {
     settings_ = basic_settings(class_of(effect, scope));
     settings_.classes[0].dedup_window = 0.8;
-    settings_.classes[0].late_worth = seed % 2 == 0 ? 0.3 : 0;
-    settings_.copy_count = 1 + static_cast<int>(below(300));
+    settings_.classes[0].late_priority_weight = seed % 2 == 0 ? 0.3 : 0;
+    settings_.replica_count = 1 + static_cast<int>(below(300));
     settings_.tier = static_cast<int>(below(2));
     settings_.tenants = {{40.0}, {0.0}, {}};
-    settings_.must_watch = ask;
-    settings_.ask_within = 10;
-    settings_.start_capacity = 0.2;
-    settings_.ramp_time = 8;
-    settings_.cross_zone_price = seed % 3 == 0 ? 0.02 : 0;
+    settings_.requires_watch = ask;
+    settings_.poll_within = 10;
+    settings_.slow_start_capacity = 0.2;
+    settings_.slow_start_duration = 8;
+    settings_.cross_zone_cost = seed % 3 == 0 ? 0.02 : 0;
     restart();
   }
 
@@ -51,7 +51,7 @@
 
  private:
   struct Sent {
-    std::string server;
+    std::string endpoint;
     double at = 0, timeout = 0;
     bool open = true, ran = true;
   };
@@ -77,32 +77,32 @@
 
   void apply(const Event& event) {
     for (const Action& action : copy_->at(now_, event)) {
-      if (const auto* send = std::get_if<Send>(&action)) sent(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) answered(refuse->id, true);
-      if (const auto* fail = std::get_if<Fail>(&action)) answered(fail->id, false);
-      if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) sent(*send);
+      if (const auto* refuse = std::get_if<RejectRequest>(&action)) answered(refuse->id, true);
+      if (const auto* fail = std::get_if<FailRequest>(&action)) answered(fail->id, false);
+      if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         ASSERT_LT(static_cast<std::size_t>(cancel->attempt), live_.at(cancel->id).sent.size());
       }
     }
   }
 
-  void sent(const Send& send) {
+  void sent(const SendAttempt& send) {
     ++sends_;
     ASSERT_TRUE(live_.contains(send.id));
     Live& r = live_.at(send.id);
     EXPECT_FALSE(r.finished) << "nothing is sent for what is finished";
-    ASSERT_TRUE(told_.contains(send.server));
-    const Server& to = told_.at(send.server);
-    EXPECT_EQ(to.state, ServerState::kReady) << "drains are kept";
+    ASSERT_TRUE(told_.contains(send.endpoint));
+    const Endpoint& to = told_.at(send.endpoint);
+    EXPECT_EQ(to.state, EndpointState::kReady) << "drains are kept";
     EXPECT_GT(send.timeout, 0);
     EXPECT_LE(now_ + send.timeout, r.until + 1e-9);
     EXPECT_LT(r.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
     for (const Sent& s : r.sent) {
       EXPECT_FALSE(s.open) << "two attempts at once";
-      if (!s.ran || effect_ == Effect::kSafe) continue;
-      EXPECT_NE(effect_, Effect::kUnsafe) << "an unsafe request that may have run was sent again";
+      if (!s.ran || effect_ == Idempotency::kIdempotent) continue;
+      EXPECT_NE(effect_, Idempotency::kNotIdempotent) << "an unsafe request that may have run was sent again";
       EXPECT_LE(now_, s.at + settings_.classes[0].dedup_window);
-      const Server& before = known_.at(s.server);
+      const Endpoint& before = known_.at(s.endpoint);
       if (scope_ == DedupScope::kZone) {
         EXPECT_EQ(before.zone, to.zone);
       }
@@ -110,7 +110,7 @@
         EXPECT_EQ(before.cell, to.cell);
       }
     }
-    r.sent.push_back({send.server, now_, send.timeout, true, true});
+    r.sent.push_back({send.endpoint, now_, send.timeout, true, true});
   }
 
   void answered(const std::string& id, bool refused) {
@@ -121,8 +121,9 @@
     r.finished = true;
     bool ran = false;
     for (const Sent& s : r.sent) ran = ran || s.ran;
-    if (!refused || !ran || effect_ == Effect::kSafe) return;
-    EXPECT_TRUE(effect_ == Effect::kKeyed && scope_ == DedupScope::kAll) << "refused though it may have run";
+    if (!refused || !ran || effect_ == Idempotency::kIdempotent) return;
+    EXPECT_TRUE(effect_ == Idempotency::kIdempotencyKey && scope_ == DedupScope::kAll)
+        << "refused though it may have run";
   }
 
   void request() {
@@ -145,8 +146,9 @@
     Live& r = live_.at(id);
     Sent& s = r.sent[at];
     s.open = false;
-    s.ran = outcome != Outcome::kRejected && outcome != Outcome::kDialFailed && outcome != Outcome::kNotSent;
-    const bool done = r.finished || outcome == Outcome::kDelivered;
+    s.ran =
+        outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
+    const bool done = r.finished || outcome == Outcome::kSuccess;
     r.finished = done;
     const AttemptResult result{id, static_cast<int>(at), outcome, now_ - s.at, done};
     apply(result);
@@ -167,7 +169,7 @@
     for (std::size_t i = 0; i < r.sent.size(); ++i) {
       if (!r.sent[i].open) continue;
       const std::size_t draw = below(16);
-      end(id, i, draw < 9 ? static_cast<Outcome>(draw) : Outcome::kDelivered);
+      end(id, i, draw < 9 ? static_cast<Outcome>(draw) : Outcome::kSuccess);
       return;
     }
     if (r.finished) live_.erase(it);
@@ -196,50 +198,52 @@
     const std::string id = "r" + std::to_string(1 + below(ids_ + 1));
     const auto it = live_.find(id);
     if (it != live_.end()) it->second.finished = true;
-    apply(RequestGone{id});
+    apply(RequestAborted{id});
   }
 
   void list() {
-    MembershipUpdate update;
+    EndpointUpdate update;
     const std::size_t draw = below(12);
-    update.form = draw == 0  ? MembershipUpdate::Form::kFailed
-                  : draw < 4 ? MembershipUpdate::Form::kFull
-                             : MembershipUpdate::Form::kChanges;
+    update.form = draw == 0  ? EndpointUpdate::Form::kWatchFailed
+                  : draw < 4 ? EndpointUpdate::Form::kSnapshot
+                             : EndpointUpdate::Form::kIncremental;
     const std::size_t count = draw == 0 || below(25) == 0 ? 0 : 1 + below(draw < 4 ? 14 : 3);
     for (std::size_t i = 0; i < count; ++i) {
       const int n = static_cast<int>(below(14));
-      Server s = server(n, n % 2, n / 3);
+      Endpoint s = server(n, n % 2, n / 3);
       s.weight = below(10) == 0 ? 0 : 0.5 + static_cast<double>(below(4));
-      s.started = below(3) == 0 ? now_ - 0.1 : 0;
+      s.started_at = below(3) == 0 ? now_ - 0.1 : 0;
       const std::size_t state = below(10);
-      s.state = state == 0 ? ServerState::kDraining : state == 1 ? ServerState::kGone : ServerState::kReady;
-      update.servers.push_back(s);
+      s.state = state == 0   ? EndpointState::kDraining
+                : state == 1 ? EndpointState::kRemoved
+                             : EndpointState::kReady;
+      update.endpoints.push_back(s);
     }
-    if (update.form == MembershipUpdate::Form::kFull) {
-      for (auto& [address, s] : told_) s.state = ServerState::kGone;
+    if (update.form == EndpointUpdate::Form::kSnapshot) {
+      for (auto& [address, s] : told_) s.state = EndpointState::kRemoved;
     }
-    for (const Server& s : update.servers) known_[s.address] = told_[s.address] = s;
+    for (const Endpoint& s : update.endpoints) known_[s.address] = told_[s.address] = s;
     apply(update);
   }
 
   std::uint64_t state_;
-  Effect effect_;
+  Idempotency effect_;
   DedupScope scope_;
   Settings settings_;
   std::optional<Copy> copy_;
   double now_ = 1000;
   std::size_t ids_ = 0;
   std::map<std::string, Live> live_;
-  std::map<std::string, Server> told_, known_;
+  std::map<std::string, Endpoint> told_, known_;
   int sends_ = 0, finals_ = 0;
 };
 
 TEST(RandomWalk, KeepsTheFourRules) {
-  const std::pair<Effect, DedupScope> kinds[] = {{Effect::kSafe, DedupScope::kAll},
-                                                 {Effect::kKeyed, DedupScope::kAll},
-                                                 {Effect::kKeyed, DedupScope::kZone},
-                                                 {Effect::kKeyed, DedupScope::kCell},
-                                                 {Effect::kUnsafe, DedupScope::kAll}};
+  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kAll},
+                                                      {Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                                      {Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                                      {Idempotency::kIdempotencyKey, DedupScope::kCell},
+                                                      {Idempotency::kNotIdempotent, DedupScope::kAll}};
   for (const auto& [effect, scope] : kinds) {
     int sends = 0;
     int finals = 0;
