--- a/src/balancer/brain.cpp
+++ b/src/balancer/brain.cpp
@@ -143,7 +143,7 @@
   double factor_of(const TenantState& t, const SlidingWindow::Sums& sums) const {
     if (sums.total - sums.declined < t.limit * window_) return 0;
     if (sums.total >= t.limit * window_ * kHardLimitFactor) return 1;
-    return suppression_factor(t.limit, sums.total / window_, sums.last_second);
+    return suppression_factor(t.limit, sums.total / window_, sums.short_total);
   }
 
   // The three regimes of the source. The cached factor serves only between the two limits.
@@ -267,7 +267,7 @@
   double slowness(const ServerNode& s, double now) const {
     const double usual = std::max(tier_answer_.mean, kLeastUsual);
     const double open = (s.in_flight * now - s.sent_sum) / std::max(aim_.mean, 0.001);
-    const FadingMean::Sum told = s.answers.at(now);
+    const support::DecayingMean::Sum told = s.answers.at(now);
     return std::max((kPriorAnswers * usual + told.sum + open) / ((kPriorAnswers + told.weight) * usual),
                     kQuickest);
   }
@@ -295,7 +295,7 @@
   bool gather(const Pending& p, bool only_healthy, bool only_untried) {
     choice_.clear();
     choice_worth_ = 0;
-    const FadingMean::Sum near = near_.at(now_), far = far_.at(now_);
+    const support::DecayingMean::Sum near = near_.at(now_), far = far_.at(now_);
     const double hoped = idle_.base / std::max(tier_answer_.mean, idle_.base);  // of zones not tried lately
     const double better = (near.sum + 1) * (far.weight + 1) / ((far.sum + hoped) * (near.weight + 1));
     far_part_ =
@@ -313,7 +313,7 @@
 
   // All servers that may get its next attempt. Danger: where many may not, looks at random miss those that
   // drop repeats of what may have run.
-  Arc in_reach(const Pending& p) const {
+  support::CircularRange in_reach(const Pending& p) const {
     const RequestClass& c = settings_.classes[p.request_class];
     const bool bound = c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope != DedupScope::kAll;
     if (!bound || servers_.ready().size() <= kMostLooked) return servers_.all();
@@ -332,7 +332,7 @@
     if (!tier_has_room()) return std::nullopt;
     subset_.look(random_, looked_);
     bool found = gather(p, true, true) && choice_.size() * 2 >= looked_.size();
-    const Arc others = in_reach(p);
+    const support::CircularRange others = in_reach(p);
     for (std::size_t step = 0, seen = 0; !found && step < kStandInSteps; ++step) {
       subset_.look_on(others, looked_);
       found = gather(p, true, true);
@@ -349,7 +349,7 @@
   // An attempt may run until the answer is worthless, or until it is clearly late while another can follow.
   double timeout(const Pending& p) const {
     const double left = p.useful_until - now_;
-    const Estimate& usual = latency_[p.request_class];
+    const support::SampledEstimate& usual = latency_[p.request_class];
     const double longest = usual.mean + kDeviations * usual.deviation;
     const bool can_repeat = settings_.classes[p.request_class].idempotency != Idempotency::kNotIdempotent &&
                             p.attempts.size() + 1 < static_cast<std::size_t>(settings_.max_attempts);
@@ -573,20 +573,21 @@
   std::vector<TenantState> tenants_;
   double share_ = 0;  // calls/s within the allowances that this copy may expect
   double window_ = kBucket * kLeastBuckets;
-  Estimate aim_;                   // of the calls that come
-  Estimate tier_answer_;           // answer time of the tier, as a part of the aim
-  IdleTime idle_;                  // of the tier
-  std::vector<Estimate> latency_;  // by class
+  support::SampledEstimate aim_;                   // of the calls that come
+  support::SampledEstimate tier_answer_;           // answer time of the tier, as a part of the aim
+  IdleTime idle_;                                  // of the tier
+  std::vector<support::SampledEstimate> latency_;  // by class
   Members servers_;
   Subset subset_;
   std::vector<std::uint32_t> looked_;                   // servers looked at for a call
   std::vector<std::pair<std::size_t, double>> choice_;  // of these, to choose from, with their worth now
   double choice_worth_ = 0;
-  FadingMean near_{kAnswerMemory, kZoneAnswers}, far_{kAnswerMemory, kZoneAnswers};  // answer times
+  support::DecayingMean near_{kAnswerMemory, kZoneAnswers},
+      far_{kAnswerMemory, kZoneAnswers};  // answer times
   double far_part_ = 0;
-  FadingRate admitted_{kAdmittedMemory}, answered_{kTierMemory};
+  support::DecayingRate admitted_{kAdmittedMemory}, answered_{kTierMemory};
   std::uint64_t answers_ = 0;
-  FadingLevel in_flight_{kTierMemory};
+  support::DecayingLevel in_flight_{kTierMemory};
   WholeTier whole_;
   double met_at_ = kForever;
   double retry_tokens_ = kRetryBurst;
--- a/src/balancer/idle.h
+++ b/src/balancer/idle.h
@@ -18,7 +18,7 @@
 // The answer time without queues, as a part of the aim: falls soon, rises slowly. Danger: the first answers
 // of a start are those of the quickest calls; a bound learned from them starves the tier.
 struct IdleTime {
-  Estimate usual;
+  support::SampledEstimate usual;
   double base = kStartBase, at = 0;
   bool learned = false;
   void add(double now, double part_of_aim) {
--- a/src/balancer/members.h
+++ b/src/balancer/members.h
@@ -10,7 +10,6 @@
 
 #include "asterdrift/balancer/balancer.h"
 #include "cold.h"
-#include "ranking.h"
 #include "support.h"
 
 namespace asterdrift::balancer {
@@ -28,9 +27,9 @@
   int in_flight = 0;
   bool ranked = false, traced = false, named = false;  // named: on the last full list, or since
   ColdTokens cold;
-  FadingRate answered{kAnsweredMemory};
-  FadingMean answers{kAnswerMemory, kMostAnswers};  // answer times, as parts of the aim
-  double sent_sum = 0;                              // send times of the calls in flight, added up
+  support::DecayingRate answered{kAnsweredMemory};
+  support::DecayingMean answers{kAnswerMemory, kMostAnswers};  // answer times, as parts of the aim
+  double sent_sum = 0;                                         // send times of the calls in flight, added up
   double met_at = 0, dither = 0;
 };
 
@@ -47,11 +46,11 @@
   }
 
   // Those that are ready, in their order: all, those of other zones, and those of one zone or cell.
-  const Ranking& ready() const { return ready_; }
-  Arc all() const { return circle(ready_); }
-  Arc far() const { return circle(far_); }
-  Arc of_zone(int zone) const { return of(by_zone_, zone); }
-  Arc of_cell(int cell) const { return of(by_cell_, cell); }
+  const OrderedIndex& ready() const { return ready_; }
+  support::CircularRange all() const { return circle(ready_); }
+  support::CircularRange far() const { return circle(far_); }
+  support::CircularRange of_zone(int zone) const { return of(by_zone_, zone); }
+  support::CircularRange of_cell(int cell) const { return of(by_cell_, cell); }
   double ready_weight() const { return ready_weight_; }
 
   // answers: those that this copy has had by now.
@@ -70,8 +69,8 @@
   }
 
   void learn(const Endpoint& told, double now, std::uint64_t answers, Random& random) {
-    const std::uint64_t order = hash_of(told.address);
-    const std::size_t at = known_.first_not([&](Ranking::Entry e) {
+    const std::uint64_t order = support::hash_text(told.address);
+    const std::size_t at = known_.partition_point([&](OrderedIndex::Entry e) {
       return e.key != key_of(order) ? e.key < key_of(order) : is_before((*this)[e.slot], order, told.address);
     });
     const bool unknown = at == known_.size() || (*this)[known_[at].slot].told.address != told.address;
@@ -165,16 +164,18 @@
   }
 
   // Where a server stands, or would, among those with its key.
-  std::size_t place(const Ranking& in, std::uint32_t key, const ServerNode& s) const {
-    return in.first_not([&](Ranking::Entry e) {
+  std::size_t place(const OrderedIndex& in, std::uint32_t key, const ServerNode& s) const {
+    return in.partition_point([&](OrderedIndex::Entry e) {
       return e.key != key ? e.key < key : is_before((*this)[e.slot], s.order, s.told.address);
     });
   }
 
-  static Arc circle(const Ranking& in) { return {&in, 0, in.size(), 0, in.size()}; }
-  static Arc of(const Ranking& in, int number) {
-    const std::size_t from = in.first_not([=](Ranking::Entry e) { return e.key < key_of(number); });
-    const std::size_t end = in.first_not([=](Ranking::Entry e) { return e.key <= key_of(number); });
+  static support::CircularRange circle(const OrderedIndex& in) { return {&in, 0, in.size(), 0, in.size()}; }
+  static support::CircularRange of(const OrderedIndex& in, int number) {
+    const std::size_t from =
+        in.partition_point([=](OrderedIndex::Entry e) { return e.key < key_of(number); });
+    const std::size_t end =
+        in.partition_point([=](OrderedIndex::Entry e) { return e.key <= key_of(number); });
     return {&in, from, end - from, 0, end - from};
   }
 
@@ -193,7 +194,7 @@
     ServerNode& s = (*this)[slot];
     s.ranked = true;
     ready_weight_ += s.told.weight;
-    for_rankings(s, [&](Ranking& in, std::uint32_t key) { in.insert(place(in, key, s), {key, slot}); });
+    for_rankings(s, [&](OrderedIndex& in, std::uint32_t key) { in.insert(place(in, key, s), {key, slot}); });
   }
 
   void unrank(std::uint32_t slot) {
@@ -201,7 +202,7 @@
     ServerNode& s = (*this)[slot];
     s.ranked = false;
     ready_weight_ -= s.told.weight;
-    for_rankings(s, [&](Ranking& in, std::uint32_t key) { in.erase(place(in, key, s)); });
+    for_rankings(s, [&](OrderedIndex& in, std::uint32_t key) { in.erase(place(in, key, s)); });
   }
 
   template <class Use>
@@ -215,13 +216,13 @@
   void unrank_all() {
     all_anew_ = true;
     ready_weight_ = 0;
-    ready_.walk(0, ready_.size(), [this](std::uint32_t slot) { (*this)[slot].ranked = false; });
-    for (Ranking* in : {&ready_, &far_, &by_zone_, &by_cell_}) in->clear();
+    ready_.for_each_slot(0, ready_.size(), [this](std::uint32_t slot) { (*this)[slot].ranked = false; });
+    for (OrderedIndex* in : {&ready_, &far_, &by_zone_, &by_cell_}) in->clear();
   }
 
   void rank_all() {
     all_anew_ = false;
-    known_.walk(0, known_.size(), [&](std::uint32_t slot) {
+    known_.for_each_slot(0, known_.size(), [&](std::uint32_t slot) {
       ServerNode& s = (*this)[slot];
       if (s.told.state != EndpointState::kReady) return;
       s.ranked = true;
@@ -233,21 +234,21 @@
     append_sorted(by_cell_, &Endpoint::cell);
   }
 
-  void append_sorted(Ranking& to, int Endpoint::*number) {
-    std::vector<Ranking::Entry> all;
+  void append_sorted(OrderedIndex& to, int Endpoint::*number) {
+    std::vector<OrderedIndex::Entry> all;
     all.reserve(ready_.size());
-    ready_.walk(0, ready_.size(), [&](std::uint32_t slot) {
+    ready_.for_each_slot(0, ready_.size(), [&](std::uint32_t slot) {
       all.push_back({key_of((*this)[slot].told.*number), slot});
     });
     std::stable_sort(all.begin(), all.end(), [](auto a, auto b) { return a.key < b.key; });
-    for (const Ranking::Entry e : all) to.append(e);
+    for (const OrderedIndex::Entry e : all) to.append(e);
   }
 
   // In the order of the slots, so that a sum does not tell of what has gone meanwhile.
   void add_up_weights() {
     std::array<std::uint32_t, kMostLooked> slots;
     std::size_t count = 0;
-    ready_.walk(0, ready_.size(), [&](std::uint32_t slot) { slots[count++] = slot; });
+    ready_.for_each_slot(0, ready_.size(), [&](std::uint32_t slot) { slots[count++] = slot; });
     std::sort(slots.begin(), slots.begin() + count);
     ready_weight_ = 0;
     for (std::size_t i = 0; i < count; ++i) ready_weight_ += (*this)[slots[i]].told.weight;
@@ -260,7 +261,7 @@
   std::size_t next_traced_ = 0;
   std::size_t changes_ = 0;  // of the rankings, by the update that is taken in
   bool all_anew_ = false;    // they are too many: the rankings are made anew at its end
-  Ranking known_, ready_, far_, by_zone_, by_cell_;
+  OrderedIndex known_, ready_, far_, by_zone_, by_cell_;
   double ready_weight_ = 0;
   mutable std::uint64_t looked_ = 0;
 };
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -26,7 +26,7 @@
   bool stays() const { return stays_; }
 
   void choose(const Settings& settings, const Members& servers) {
-    const Arc local = servers.of_zone(settings.zone);
+    const support::CircularRange local = servers.of_zone(settings.zone);
     // Danger: with its own zone alone, a zone with more traffic than servers drowns beside an idle one. So a
     // like part of the other zones belongs to the subset, drawn the less for its price. Danger: with one or
     // two servers in its own zone there is nothing to choose from, and a small one gets a large one's calls.
@@ -36,16 +36,17 @@
     if (size_ == 0)
       next_ = subset_start(static_cast<std::size_t>(settings.replica_index), count, servers.ready().size());
     size_ = 0;
-    for (Arc& arc : arcs_) {
+    for (support::CircularRange& arc : arcs_) {
       // Danger: a subset of fixed size leaves servers without any caller where copies are few.
-      arc.size = std::min(arc.around, std::max(kSubset, (kCover * arc.around + count - 1) / count));
-      arc.start = subset_start(static_cast<std::size_t>(settings.replica_index), count, arc.around);
+      arc.size =
+          std::min(arc.circumference, std::max(kSubset, (kCover * arc.circumference + count - 1) / count));
+      arc.start = subset_start(static_cast<std::size_t>(settings.replica_index), count, arc.circumference);
       size_ += arc.size;
     }
     sharers_ =
         std::max(1.0, static_cast<double>(count * size_) / static_cast<double>(servers.ready().size()));
     few_.clear();
-    for (const Arc& arc : arcs_) arc.collect(0, part_of(arc), few_);
+    for (const support::CircularRange& arc : arcs_) arc.collect(0, part_of(arc), few_);
   }
 
   // Members of it: all of a small one, and as many as are looked at for a call of a large one.
@@ -59,14 +60,14 @@
       out = few_;
       return;
     }
-    for (const Arc& arc : arcs_) {
+    for (const support::CircularRange& arc : arcs_) {
       if (arc.size > 0) arc.collect(random.below(arc.size), part_of(arc), out);
     }
   }
 
   // All of a few servers; of many, those that follow where the last look ended: n / kMostLooked looks see
   // all.
-  void look_on(const Arc& arc, std::vector<std::uint32_t>& out) {
+  void look_on(const support::CircularRange& arc, std::vector<std::uint32_t>& out) {
     out.clear();
     if (arc.size <= kMostLooked) return arc.collect(0, arc.size, out);
     arc.collect(next_ % arc.size, kMostLooked, out);
@@ -75,13 +76,13 @@
 
  private:
   // How many of an arc's servers are looked at.
-  std::size_t part_of(const Arc& arc) const {
+  std::size_t part_of(const support::CircularRange& arc) const {
     if (size_ <= kMostLooked) return arc.size;
     return std::min(arc.size, 1 + (kMostLooked - arcs_.size()) * arc.size / size_);
   }
 
-  std::vector<Arc> arcs_;           // of its own zone and of others, or of all
-  std::vector<std::uint32_t> few_;  // slots of some, or all where they are few
+  std::vector<support::CircularRange> arcs_;  // of its own zone and of others, or of all
+  std::vector<std::uint32_t> few_;            // slots of some, or all where they are few
   std::size_t size_ = 0, next_ = 0;
   double sharers_ = 1;  // copies that use the same server
   bool stays_ = false;  // calls to other zones cost more
--- a/src/balancer/support.h
+++ b/src/balancer/support.h
@@ -1,4 +1,4 @@
-// What the decisions count and draw with; nothing here decides.
+// Requests and attempts, and the names of the statistics that the decisions use.
 #pragma once
 
 #include <algorithm>
@@ -9,142 +9,20 @@
 #include <vector>
 
 #include "asterdrift/balancer/balancer.h"
+#include "support/decaying_statistics.h"
+#include "support/ordered_index.h"
+#include "support/random.h"
+#include "support/sliding_window.h"
 
 namespace asterdrift::balancer {
 
+using support::OrderedIndex;
+using support::Random;
+using support::SlidingWindow;
+
 // Throws std::invalid_argument, naming the field, when the settings cannot be used.
 void validate(const Settings& settings);
 
-// splitmix64 with its own mapping to ranges: the same on every platform.
-class Random {
- public:
-  explicit Random(std::uint64_t seed) : state_(seed) {}
-  std::uint64_t next() {
-    std::uint64_t z = (state_ += 0x9E3779B97F4A7C15ULL);
-    z = (z ^ (z >> 30)) * 0xBF58476D1CE4E5B9ULL;
-    z = (z ^ (z >> 27)) * 0x94D049BB133111EBULL;
-    return z ^ (z >> 31);
-  }
-  double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
-  std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
-
- private:
-  std::uint64_t state_;
-};
-
-// FNV-1a: orders servers alike at every copy, without regard to how addresses were handed out.
-inline std::uint64_t hash_of(const std::string& text) {
-  std::uint64_t h = 0xCBF29CE484222325ULL;
-  for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001B3ULL;
-  return Random(h).next();
-}
-
-// Total and declined calls of the last few seconds, in buckets; the latest of them also make the short rate.
-class SlidingWindow {
- public:
-  struct Sums {
-    double total = 0, declined = 0, last_second = 0;
-  };
-  SlidingWindow(double bucket_s, int buckets, int short_buckets)
-      : bucket_s_(bucket_s), short_buckets_(short_buckets), buckets_(static_cast<std::size_t>(buckets)) {}
-
-  void add(double now, bool denied) {
-    const std::int64_t slot = slot_of(now), count = std::ssize(buckets_);
-    Bucket& bucket = buckets_[static_cast<std::size_t>(((slot % count) + count) % count)];
-    if (bucket.slot != slot) bucket = {slot, 0, 0};
-    bucket.total += 1;
-    if (denied) bucket.declined += 1;
-  }
-
-  Sums sums(double now) const {
-    const std::int64_t slot = slot_of(now);
-    Sums out;
-    for (const Bucket& bucket : buckets_) {
-      if (bucket.slot <= slot - std::ssize(buckets_)) continue;
-      out.total += bucket.total;
-      out.declined += bucket.declined;
-      if (bucket.slot > slot - short_buckets_) out.last_second += bucket.total;
-    }
-    return out;
-  }
-
- private:
-  struct Bucket {
-    std::int64_t slot = std::numeric_limits<std::int64_t>::min() / 2;
-    double total = 0, declined = 0;
-  };
-  std::int64_t slot_of(double now) const { return static_cast<std::int64_t>(std::floor(now / bucket_s_)); }
-
-  double bucket_s_;
-  int short_buckets_;
-  std::vector<Bucket> buckets_;
-};
-
-// Events per second, with exponential forgetting.
-class FadingRate {
- public:
-  explicit FadingRate(double memory_s) : memory_s_(memory_s) {}
-  double at(double now) const { return rate_ == 0 ? 0 : rate_ * std::exp((last_ - now) / memory_s_); }
-  void add(double now) {
-    rate_ = at(now) + 1 / memory_s_;
-    last_ = now;
-  }
-
- private:
-  double memory_s_, rate_ = 0, last_ = 0;
-};
-
-// Mean and mean deviation, with exponential forgetting; the first samples count for more.
-struct Estimate {
-  double mean = 0, deviation = 0, samples = 0;
-  void add(double value, double least_gain) {
-    samples += 1;
-    const double gain = std::max(least_gain, 1 / (samples + 1));
-    deviation += gain * (std::abs(value - mean) - deviation);
-    mean += gain * (value - mean);
-  }
-};
-
-// A count that goes up and down, and its mean over time with exponential forgetting.
-class FadingLevel {
- public:
-  explicit FadingLevel(double memory_s) : memory_s_(memory_s) {}
-  int level() const { return level_; }
-  double mean(double now) const { return level_ + (mean_ - level_) * std::exp((last_ - now) / memory_s_); }
-  void change(double now, int by) {
-    mean_ = mean(now);
-    last_ = now;
-    level_ += by;
-  }
-
- private:
-  double memory_s_, mean_ = 0, last_ = 0;
-  int level_ = 0;
-};
-
-// Mean with forgetting by time, and by count where samples are many.
-class FadingMean {
- public:
-  struct Sum {
-    double sum = 0, weight = 0;
-  };
-  FadingMean(double memory_s, double most) : memory_s_(memory_s), most_(most) {}
-  Sum at(double now) const {
-    const double kept = std::exp((last_ - now) / memory_s_);
-    return {told_.sum * kept, told_.weight * kept};
-  }
-  void add(double now, double value) {
-    const Sum old = at(now);
-    const double kept = old.weight > most_ - 1 ? (most_ - 1) / old.weight : 1;
-    told_ = {old.sum * kept + value, old.weight * kept + 1};
-    last_ = now;
-  }
-
- private:
-  double memory_s_, most_, last_ = 0;
-  Sum told_;
-};
-
 // Which outcomes prove that an attempt never ran. Danger: taking an unknown end for harmless repeats effects.
 inline bool never_ran(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
--- a/src/balancer/tenants.h
+++ b/src/balancer/tenants.h
@@ -24,8 +24,8 @@
   double part = 0, limit = kForever, floor = kFloorRate, worth = 1;  // worth: of what exceeds its part
   double factor = 0, factor_until = -kForever;
   double ended = 0, bad = 0, next_review = -kForever;
-  FadingRate in_time{kInTimeMemory};  // calls answered within their aim
-  double share_of_these = 0;          // in the floor, where no allowance is told
+  support::DecayingRate in_time{kInTimeMemory};  // calls answered within their aim
+  double share_of_these = 0;                     // in the floor, where no allowance is told
   double since = kForever;
 
   void count(double now, bool was_bad, bool was_in_time) {
--- /dev/null
+++ b/src/support/decaying_statistics.cpp
@@ -0,0 +1,58 @@
+#include "support/decaying_statistics.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace asterdrift::support {
+
+void DecayingRate::add(double now) {
+  rate_ = at(now) + 1 / time_constant_s_;
+  updated_at_ = now;
+}
+
+double DecayingRate::at(double now) const {
+  return rate_ == 0 ? 0 : rate_ * std::exp((updated_at_ - now) / time_constant_s_);
+}
+
+void SampledEstimate::add(double value, double least_gain) {
+  samples += 1;
+  const double gain = std::max(least_gain, 1 / (samples + 1));
+  deviation += gain * (std::abs(value - mean) - deviation);
+  mean += gain * (value - mean);
+}
+
+void AsymmetricBaseline::add(double now, double sample) {
+  if (estimate_.samples == 0) updated_at_ = now + parameters_.settle_time_s;
+  estimate_.add(sample, parameters_.gain);
+  if (now < updated_at_ || estimate_.samples < parameters_.least_samples) return;
+  if (!is_learned_) value_ = estimate_.mean;
+  const bool falls = estimate_.mean < value_;
+  const double step = (now - updated_at_) / (falls ? parameters_.fall_time_s : parameters_.rise_time_s);
+  value_ = std::min(value_ + (estimate_.mean - value_) * std::min(1.0, step), parameters_.most);
+  is_learned_ = true;
+  updated_at_ = now;
+}
+
+void DecayingLevel::change(double now, int by) {
+  mean_ = mean(now);
+  updated_at_ = now;
+  level_ += by;
+}
+
+double DecayingLevel::mean(double now) const {
+  return level_ + (mean_ - level_) * std::exp((updated_at_ - now) / time_constant_s_);
+}
+
+void DecayingMean::add(double now, double value) {
+  const Sum old = at(now);
+  const double kept = old.weight > most_samples_ - 1 ? (most_samples_ - 1) / old.weight : 1;
+  total_ = {old.sum * kept + value, old.weight * kept + 1};
+  updated_at_ = now;
+}
+
+DecayingMean::Sum DecayingMean::at(double now) const {
+  const double kept = std::exp((updated_at_ - now) / time_constant_s_);
+  return {total_.sum * kept, total_.weight * kept};
+}
+
+}  // namespace asterdrift::support
--- a/tests/membership_scale_test.cpp
+++ b/tests/membership_scale_test.cpp
@@ -184,7 +184,7 @@
     EndpointUpdate m = fleet(7000);
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
     for (std::size_t i = 0; i < m.endpoints.size(); ++i) {
-      order.emplace_back(hash_of(m.endpoints[i].address), i);
+      order.emplace_back(support::hash_text(m.endpoints[i].address), i);
     }
     std::sort(order.begin(), order.end());
     // Copy 0 uses the first eight; one of them shares its cell and zone with one other, half the ring away.
@@ -256,7 +256,8 @@
   std::vector<std::string> ready(const Fits& fits) const {
     std::vector<std::pair<std::uint64_t, std::string>> order;
     for (const auto& [address, s] : known) {
-      if (s.state == EndpointState::kReady && fits(s)) order.emplace_back(hash_of(address), address);
+      if (s.state == EndpointState::kReady && fits(s))
+        order.emplace_back(support::hash_text(address), address);
     }
     std::sort(order.begin(), order.end());
     std::vector<std::string> out;
@@ -271,7 +272,7 @@
   return out;
 }
 
-std::vector<std::string> names(const Members& members, const Arc& arc) {
+std::vector<std::string> names(const Members& members, const support::CircularRange& arc) {
   std::vector<std::uint32_t> slots;
   arc.collect(0, arc.size, slots);
   return names(members, slots);
