--- /dev/null
+++ b/src/balancer/endpoint_set.cpp
@@ -0,0 +1,146 @@
+#include "balancer/endpoint_set.h"
+
+#include <algorithm>
+#include <array>
+
+namespace asterdrift::balancer {
+
+using support::OrderedIndex;
+
+constexpr std::size_t kRebuildPart = 16;  // an update that changes more than a 16th has the indexes rebuilt
+
+// Another process: what was measured of the last one says nothing. The tokens are random, since replicas hear
+// of a start together and must not send together.
+static EndpointRecord restarted(const EndpointRecord& old, double now, std::uint64_t responses,
+                                support::Random& random) {
+  const double rounding_offset = random.unit();
+  const support::TokenBucket tokens(random.unit());
+  return {.hash = old.hash,
+          .in_flight = old.in_flight,
+          .indexed = old.indexed,
+          .tracked = old.tracked,
+          .slow_start = {tokens, tokens, now, responses},
+          .sent_at_sum = old.sent_at_sum,
+          .first_seen_at = now,
+          .rounding_offset = rounding_offset};
+}
+
+void EndpointSet::apply(const EndpointUpdate& update, double now, std::uint64_t responses,
+                        support::Random& random) {
+  const bool is_snapshot = update.form == EndpointUpdate::Form::kSnapshot;
+  for (std::uint32_t slot = 0; is_snapshot && slot < size(); ++slot) records_[slot].listed = false;
+  for (const Endpoint& advertised : update.endpoints) apply(advertised, now, responses, random);
+  for (std::uint32_t slot = 0; is_snapshot && slot < size(); ++slot) mark_removed(slot);
+  finish_update();
+}
+
+void EndpointSet::apply(const Endpoint& advertised, double now, std::uint64_t responses,
+                        support::Random& random) {
+  const auto [slot, is_new] = records_.find_or_add(advertised.address);
+  EndpointRecord& record = records_[slot];
+  const Endpoint& old = record.advertised;
+  const bool is_ready = advertised.state == EndpointState::kReady;
+  const bool moved =
+      advertised.weight != old.weight || advertised.zone != old.zone || advertised.cell != old.cell;
+  if (record.indexed && (!is_ready || moved)) set_indexed(slot, false);
+  if (is_new || advertised.started_at != old.started_at) record = restarted(record, now, responses, random);
+  record.advertised = advertised;
+  record.listed = true;
+  if (!(record.advertised.weight > 0)) record.advertised.weight = 1;
+  if (is_ready && !record.indexed && !rebuild_) set_indexed(slot, true);
+  if (advertised.state == EndpointState::kRemoved) removed_.push_back(slot);
+}
+
+// What a snapshot lacks has been removed.
+void EndpointSet::mark_removed(std::uint32_t slot) {
+  EndpointRecord& record = records_[slot];
+  if (record.listed || record.advertised.state == EndpointState::kRemoved) return;
+  if (record.indexed) set_indexed(slot, false);
+  record.advertised.state = EndpointState::kRemoved;
+  removed_.push_back(slot);
+}
+
+void EndpointSet::finish_update() {
+  std::sort(removed_.begin(), removed_.end());
+  removed_.erase(std::unique(removed_.begin(), removed_.end()), removed_.end());
+  std::erase_if(removed_, [this](std::uint32_t slot) { return release(slot); });
+  if (rebuild_) rebuild_indexes();
+  index_changes_ = 0;
+  if (ready_.size() <= kMostExamined) sum_weights();
+}
+
+// Whether a slot need not be looked at again.
+bool EndpointSet::release(std::uint32_t slot) {
+  EndpointRecord& record = records_[slot];
+  if (record.advertised.state != EndpointState::kRemoved) return true;
+  if (record.in_flight > 0) return false;
+  records_.remove(slot);
+  record = {.tracked = record.tracked};
+  record.advertised.state = EndpointState::kRemoved;
+  return true;
+}
+
+void EndpointSet::track(std::size_t slot, double now) {
+  if (!records_[slot].tracked) tracked_.push_back(static_cast<std::uint32_t>(slot));
+  records_[slot].tracked = true;
+  for (int i = 0; i < 2; ++i) {  // two are checked for each that is added, so that the list shrinks again
+    next_tracked_ = (next_tracked_ + 1) % tracked_.size();
+    EndpointRecord& record = records_[tracked_[next_tracked_]];
+    if (tracked_[next_tracked_] == slot || record.in_flight > 0) continue;
+    if (record.latency.at(now).sum >= kLeastTrackedLatency) continue;
+    record.tracked = false;
+    tracked_[next_tracked_] = tracked_.back();
+    tracked_.pop_back();
+  }
+}
+
+// After too many changes by one update the indexes are emptied instead, to be rebuilt at its end.
+void EndpointSet::set_indexed(std::uint32_t slot, bool indexed) {
+  if (++index_changes_ > kMostExamined + ready_.size() / kRebuildPart) return clear_indexes();
+  EndpointRecord& record = records_[slot];
+  const auto change = [&](OrderedIndex& index, std::uint32_t key) {
+    indexed ? records_.insert_into(index, key, slot) : records_.erase_from(index, key, slot);
+  };
+  record.indexed = indexed;
+  ready_weight_ += indexed ? record.advertised.weight : -record.advertised.weight;
+  change(ready_, records_.key_of(record.hash));
+  if (record.advertised.zone != zone_) change(other_zones_, records_.key_of(record.hash));
+  change(by_zone_, key_of(record.advertised.zone));
+  change(by_cell_, key_of(record.advertised.cell));
+}
+
+void EndpointSet::clear_indexes() {
+  rebuild_ = true;
+  ready_weight_ = 0;
+  ready_.for_each_slot(0, ready_.size(), [this](std::uint32_t slot) { records_[slot].indexed = false; });
+  for (OrderedIndex* index : {&ready_, &other_zones_, &by_zone_, &by_cell_}) index->clear();
+}
+
+void EndpointSet::rebuild_indexes() {
+  rebuild_ = false;
+  std::vector<OrderedIndex::Entry> zones, cells;
+  records_.in_use().for_each_slot(0, records_.in_use().size(), [&](std::uint32_t slot) {
+    EndpointRecord& record = records_[slot];
+    if (record.advertised.state != EndpointState::kReady) return;
+    record.indexed = true;
+    ready_weight_ += record.advertised.weight;
+    ready_.append({records_.key_of(record.hash), slot});
+    if (record.advertised.zone != zone_) other_zones_.append({records_.key_of(record.hash), slot});
+    zones.push_back({key_of(record.advertised.zone), slot});
+    cells.push_back({key_of(record.advertised.cell), slot});
+  });
+  by_zone_.assign(std::move(zones));
+  by_cell_.assign(std::move(cells));
+}
+
+// In the order of the slots, so that rounding does not depend on past updates.
+void EndpointSet::sum_weights() {
+  std::array<std::uint32_t, kMostExamined> slots;
+  std::size_t count = 0;
+  ready_.for_each_slot(0, ready_.size(), [&](std::uint32_t slot) { slots[count++] = slot; });
+  std::sort(slots.begin(), slots.begin() + count);
+  ready_weight_ = 0;
+  for (std::size_t i = 0; i < count; ++i) ready_weight_ += records_[slots[i]].advertised.weight;
+}
+
+}  // namespace asterdrift::balancer
--- /dev/null
+++ b/src/balancer/endpoint_set.h
@@ -0,0 +1,100 @@
+// The endpoints that a replica has been notified of, and what it has measured of each.
+#pragma once
+
+#include "asterdrift/balancer/balancer.h"
+#include "support/decaying_statistics.h"
+#include "support/named_slots.h"
+#include "support/token_bucket.h"
+
+namespace asterdrift::balancer {
+
+constexpr double kResponseRateMemory = 2;  // s; smoothing of the rate at which an endpoint responds
+constexpr double kLatencyMemory = 8;       // s; older responses tell nothing: ejected endpoints are retried
+constexpr double kMostLatencySamples = 4;  // more would hide a change from a replica with much traffic
+constexpr double kLeastTrackedLatency = 0.01;  // of the objective; what faded below makes no outlier
+constexpr std::size_t kMostExamined = 64;      // endpoints examined in one step of a selection
+
+struct SlowStartBudget {
+  support::TokenBucket by_rate, by_responses;
+  double refilled_at = 0;
+  std::uint64_t responses_seen = 0;
+};
+
+struct EndpointRecord {
+  const std::string& name() const { return advertised.address; }
+
+  Endpoint advertised = {};
+  std::uint64_t hash = 0;  // of the address; orders endpoints alike at every replica
+  int in_flight = 0;
+  bool indexed = false, tracked = false, listed = false;  // listed: by the last snapshot or since
+  SlowStartBudget slow_start = {};
+  support::DecayingRate responses{kResponseRateMemory};
+  support::DecayingMean latency{kLatencyMemory, kMostLatencySamples};  // fractions of the latency objective
+  double sent_at_sum = 0;  // send times of the requests in flight, added up
+  double first_seen_at = 0;
+  double rounding_offset = 0;  // of this replica's part of the endpoint's capacity
+};
+
+// Each endpoint has a slot while it is listed or has requests in flight; slots are reused.
+class EndpointSet {
+ public:
+  // zone: that of this replica.
+  explicit EndpointSet(int zone = 0) : zone_(zone) {}
+
+  std::size_t size() const { return records_.size(); }  // slots
+  EndpointRecord& operator[](std::size_t slot) { return records_[slot]; }
+  const EndpointRecord& operator[](std::size_t slot) const { return records_[slot]; }
+
+  // Those that are ready, ordered by hash.
+  const support::OrderedIndex& ready() const { return ready_; }
+  support::CircularRange all() const { return ready_.range(); }
+  support::CircularRange other_zones() const { return other_zones_.range(); }
+  support::CircularRange in_zone(int zone) const { return by_zone_.range_of(key_of(zone)); }
+  support::CircularRange in_cell(int cell) const { return by_cell_.range_of(key_of(cell)); }
+  double ready_weight() const { return ready_weight_; }
+
+  // responses: those that this replica has had so far.
+  void apply(const EndpointUpdate& update, double now, std::uint64_t responses, support::Random& random);
+  // One endpoint of an update; finish_update() has to follow.
+  void apply(const Endpoint& advertised, double now, std::uint64_t responses, support::Random& random);
+  // Releases the slots of removed endpoints without requests in flight, and brings the indexes up to date.
+  void finish_update();
+
+  // A request has been sent to an endpoint or has ended: it may have become an outlier.
+  void track(std::size_t slot, double now);
+
+  // Outliers are ejected only while others are healthy: where none is, all are sent to again.
+  template <class Predicate>
+  EndpointSetView view(const Predicate& is_outlier) const {
+    std::size_t outliers = 0;  // none of those that are not tracked
+    for (const std::uint32_t slot : tracked_) {
+      const EndpointRecord& record = records_[slot];
+      if (record.indexed && is_outlier(record)) ++outliers;
+    }
+    const std::size_t listed = records_.in_use().size() - removed_.size();
+    const std::size_t ejected = outliers < ready_.size() ? outliers : 0;
+    return {listed, listed - ready_.size() + ejected, records_.reads()};
+  }
+
+ private:
+  static std::uint32_t key_of(int number) { return static_cast<std::uint32_t>(number); }
+
+  void mark_removed(std::uint32_t slot);
+  bool release(std::uint32_t slot);
+
+  void set_indexed(std::uint32_t slot, bool indexed);
+  void clear_indexes();
+  void rebuild_indexes();
+  void sum_weights();
+
+  int zone_;
+  support::NamedSlots<EndpointRecord> records_;
+  std::vector<std::uint32_t> removed_, tracked_;  // slots
+  std::size_t next_tracked_ = 0;
+  std::size_t index_changes_ = 0;  // by the update that is being applied
+  bool rebuild_ = false;           // it changes so much that the indexes are rebuilt at its end
+  support::OrderedIndex ready_, other_zones_, by_zone_, by_cell_;
+  double ready_weight_ = 0;
+};
+
+}  // namespace asterdrift::balancer
--- /dev/null
+++ b/src/balancer/subset.cpp
@@ -0,0 +1,67 @@
+#include "balancer/subset.h"
+
+#include <algorithm>
+
+namespace asterdrift::balancer {
+
+// Evenly spaced on a ring: any two endpoints differ by at most one in how many replicas use them.
+static std::size_t subset_start(std::size_t replica_index, std::size_t replica_count, std::size_t endpoints) {
+  return replica_index * endpoints / replica_count;
+}
+
+std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count,
+                                   std::size_t endpoints, std::size_t size) {
+  if (endpoints == 0 || replica_count == 0) return {};
+  std::vector<std::size_t> positions;
+  const std::size_t start = subset_start(replica_index, replica_count, endpoints);
+  for (std::size_t i = 0; i < std::min(size, endpoints); ++i) positions.push_back((start + i) % endpoints);
+  return positions;
+}
+
+void Subset::update(const Settings& settings, const EndpointSet& endpoints) {
+  const auto index = static_cast<std::size_t>(settings.replica_index);
+  const auto replicas = static_cast<std::size_t>(settings.replica_count);
+  const std::size_t ready = endpoints.ready().size();
+  const support::CircularRange local = endpoints.in_zone(settings.zone);
+  // A zone must not be overloaded beside an idle one: a like part of the other zones belongs to the subset,
+  // drawn less often for its cost. With one or two local endpoints a replica has nothing to choose from.
+  prefers_own_zone_ = settings.cross_zone_cost > 0 && local.size >= kLeastZoneSize;
+  ranges_ = prefers_own_zone_ ? std::vector{local, endpoints.other_zones()} : std::vector{endpoints.all()};
+  if (size_ == 0) next_ = subset_start(index, replicas, ready);
+  size_ = 0;
+  for (support::CircularRange& range : ranges_) {
+    // A fixed size would leave endpoints without any replica where replicas are few.
+    const std::size_t covering = (kLeastReplicas * range.circumference + replicas - 1) / replicas;
+    range.size = std::min(range.circumference, std::max(kLeastSubset, covering));
+    range.start = subset_start(index, replicas, range.circumference);
+    size_ += range.size;
+  }
+  sharing_replicas_ = std::max(1.0, static_cast<double>(replicas * size_) / static_cast<double>(ready));
+  few_.clear();
+  for (const support::CircularRange& range : ranges_) range.collect(0, sample_size(range), few_);
+}
+
+void Subset::sample(support::Random& random, std::vector<std::uint32_t>& slots) const {
+  slots.clear();
+  if (size_ <= kMostExamined) {
+    slots = few_;
+    return;
+  }
+  for (const support::CircularRange& range : ranges_) {
+    if (range.size > 0) range.collect(random.below(range.size), sample_size(range), slots);
+  }
+}
+
+void Subset::sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots) {
+  slots.clear();
+  if (range.size <= kMostExamined) return range.collect(0, range.size, slots);
+  range.collect(next_ % range.size, kMostExamined, slots);
+  next_ += kMostExamined;
+}
+
+std::size_t Subset::sample_size(const support::CircularRange& range) const {
+  if (size_ <= kMostExamined) return range.size;
+  return std::min(range.size, 1 + (kMostExamined - ranges_.size()) * range.size / size_);
+}
+
+}  // namespace asterdrift::balancer
--- /dev/null
+++ b/src/support/named_slots.h
@@ -0,0 +1,95 @@
+// Elements found by name, in numbered slots.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/ordered_index.h"
+#include "support/random.h"
+
+namespace asterdrift::support {
+
+// Slots are reused after their removal. They stay in place for good: references to elements remain valid, and
+// growing never copies all elements. An Element has a member `std::uint64_t hash`, which is set here, and a
+// function `const std::string& name() const`.
+template <class Element>
+class NamedSlots {
+ public:
+  // Slots there are, in use or not.
+  std::size_t size() const { return size_; }
+  Element& operator[](std::size_t slot) { return (++reads_, element(slot)); }
+  const Element& operator[](std::size_t slot) const { return (++reads_, element(slot)); }
+  // How often elements have been read so far.
+  std::uint64_t reads() const { return reads_; }
+
+  // The slots in use, ordered by the hash of their names, then by their names.
+  const OrderedIndex& in_use() const { return in_use_; }
+
+  // The slot of a name, and whether it is new. The caller gives a new element its name.
+  std::pair<std::uint32_t, bool> find_or_add(const std::string& name) {
+    const std::uint64_t hash = hash_text(name);
+    const std::size_t at = position(in_use_, key_of(hash), hash, name);
+    if (at != in_use_.size() && (*this)[in_use_[at].slot].name() == name) return {in_use_[at].slot, false};
+    const std::uint32_t slot = acquire();
+    in_use_.insert(at, {key_of(hash), slot});
+    element(slot).hash = hash;
+    return {slot, true};
+  }
+
+  // Releases a slot. The element stays as it is until the slot is used again.
+  void remove(std::uint32_t slot) {
+    erase_from(in_use_, key_of(element(slot).hash), slot);
+    released_.push_back(slot);
+  }
+
+  // Keep an index of slots in use sorted by a key, and by the order of in_use() where keys are equal.
+  void insert_into(OrderedIndex& index, std::uint32_t key, std::uint32_t slot) const {
+    index.insert(position(index, key, element(slot).hash, element(slot).name()), {key, slot});
+  }
+  void erase_from(OrderedIndex& index, std::uint32_t key, std::uint32_t slot) const {
+    index.erase(position(index, key, element(slot).hash, element(slot).name()));
+  }
+
+  // The key by which in_use() is sorted.
+  static std::uint32_t key_of(std::uint64_t hash) { return static_cast<std::uint32_t>(hash >> 32); }
+
+ private:
+  static constexpr std::size_t kChunkSize = 16;
+  using Chunk = std::array<Element, kChunkSize>;
+
+  Element& element(std::size_t slot) { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
+  const Element& element(std::size_t slot) const { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
+
+  // Where a name stands in an index, or would, among the entries with its key.
+  std::size_t position(const OrderedIndex& index, std::uint32_t key, std::uint64_t hash,
+                       const std::string& name) const {
+    return index.partition_point([&](OrderedIndex::Entry entry) {
+      if (entry.key != key) return entry.key < key;
+      const Element& other = (*this)[entry.slot];
+      return other.hash != hash ? other.hash < hash : other.name() < name;
+    });
+  }
+
+  std::uint32_t acquire() {
+    if (!released_.empty()) {
+      const std::uint32_t slot = released_.back();
+      released_.pop_back();
+      return slot;
+    }
+    if (size_ % kChunkSize == 0) chunks_.push_back(std::make_unique<Chunk>());
+    return static_cast<std::uint32_t>(size_++);
+  }
+
+  std::vector<std::unique_ptr<Chunk>> chunks_;
+  std::size_t size_ = 0;
+  std::vector<std::uint32_t> released_;
+  OrderedIndex in_use_;
+  mutable std::uint64_t reads_ = 0;
+};
+
+}  // namespace asterdrift::support
