--- a/adapter/simulator_adapter.cpp
+++ b/adapter/simulator_adapter.cpp
@@ -1,5 +1,5 @@
-// simulator-adapter: hosts balancer copies on the bench's wire (one JSON line in, one out). It parses,
-// translates, writes and flushes; every decision is the library's.
+// simulator-adapter: hosts balancer replicas on the simulator's wire (one JSON line in, one out). It parses,
+// translates, writes and flushes; every decision is the balancer's.
 #include <cstdio>
 #include <iostream>
 #include <map>
@@ -11,7 +11,8 @@
 #include <vector>
 
 #include "asterdrift/balancer/balancer.h"
-#include "json/read.h"
+#include "json/fields.h"
+#include "json/settings_reader.h"
 #include "rapidjson/document.h"
 #include "rapidjson/error/en.h"
 #include "rapidjson/stringbuffer.h"
@@ -21,49 +22,49 @@
 
 using namespace asterdrift::json;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-namespace qu = asterdrift::balancer;
+namespace balancer = asterdrift::balancer;
 
-qu::Outcome read_outcome(std::string_view name) {
-  if (name == "delivered") return qu::Outcome::kSuccess;
-  if (name == "app_error") return qu::Outcome::kServerError;
-  if (name == "shed") return qu::Outcome::kRejected;
-  if (name == "expired") return qu::Outcome::kTimedOut;
-  if (name == "dial_failed") return qu::Outcome::kConnectFailed;
-  if (name == "dropped") return qu::Outcome::kConnectionReset;
-  if (name == "revoked") return qu::Outcome::kCancelled;
-  if (name == "unused") return qu::Outcome::kNotSent;
-  return qu::Outcome::kUnknown;
+balancer::Outcome read_outcome(std::string_view name) {
+  if (name == "delivered") return balancer::Outcome::kSuccess;
+  if (name == "app_error") return balancer::Outcome::kServerError;
+  if (name == "shed") return balancer::Outcome::kRejected;
+  if (name == "expired") return balancer::Outcome::kTimedOut;
+  if (name == "dial_failed") return balancer::Outcome::kConnectFailed;
+  if (name == "dropped") return balancer::Outcome::kConnectionReset;
+  if (name == "revoked") return balancer::Outcome::kCancelled;
+  if (name == "unused") return balancer::Outcome::kNotSent;
+  return balancer::Outcome::kUnknown;
 }
 
-qu::Endpoint read_server(const Json& in) {
-  qu::Endpoint out;
-  out.address = text(in, "server");
-  out.zone = whole_or(in, "rackZone", 0);
-  out.cell = whole_or(in, "pack", 0);
+balancer::Endpoint read_server(const Json& in) {
+  balancer::Endpoint out;
+  out.address = string(in, "server");
+  out.zone = integer_or(in, "rackZone", 0);
+  out.cell = integer_or(in, "pack", 0);
   out.weight = number_or(in, "units", 1);
   out.started_at = number_or(in, "since", 0);
-  const std::string_view mode = text(in, "mode");
+  const std::string_view mode = string(in, "mode");
   if (mode == "Ready") {
-    out.state = qu::EndpointState::kReady;
+    out.state = balancer::EndpointState::kReady;
   } else if (mode == "Terminating") {
-    out.state = qu::EndpointState::kDraining;
+    out.state = balancer::EndpointState::kDraining;
   } else if (mode == "Gone") {
-    out.state = qu::EndpointState::kRemoved;
+    out.state = balancer::EndpointState::kRemoved;
   } else {
-    wrong("mode", "Ready, Terminating or Gone");
+    throw_unexpected("mode", "Ready, Terminating or Gone");
   }
   return out;
 }
 
-qu::Request read_request(const Json& in) {
+balancer::Request read_request(const Json& in) {
   constexpr int kHintValid = 1;
   constexpr int kClientRepeats = 2;
-  qu::Request out;
-  out.id = text(in, "txn");
+  balancer::Request out;
+  out.id = string(in, "txn");
   out.tenant = index_or_zero(in, "account");
   out.request_class = index_or_zero(in, "profile");
   out.time_left = number(in, "timeLeft");
-  const int opts = whole_or(in, "opts", 0);
+  const int opts = integer_or(in, "opts", 0);
   if ((opts & kHintValid) != 0 && find(in, "cost") != nullptr) out.announced_work = number(in, "cost");
   out.is_client_retry = (opts & kClientRepeats) != 0;
   return out;
@@ -86,45 +87,45 @@
     out.Key(name);
     out.Double(value);
   }
-  void operator()(const qu::SendAttempt& a) const {
+  void operator()(const balancer::SendAttempt& a) const {
     start("CALL_OUT");
     field("txn", a.id);
     field("server", a.endpoint);
     field("patience", a.timeout);
     out.EndObject();
   }
-  void operator()(const qu::RejectRequest& a) const {
+  void operator()(const balancer::RejectRequest& a) const {
     start("SAY_NO");
     field("txn", a.id);
     if (a.retry_after > 0) field("notBeforeFor", a.retry_after);
     out.EndObject();
   }
-  void operator()(const qu::FailRequest& a) const {
+  void operator()(const balancer::FailRequest& a) const {
     start("ERROR");
     field("txn", a.id);
     out.EndObject();
   }
-  void operator()(const qu::CancelAttempt& a) const {
+  void operator()(const balancer::CancelAttempt& a) const {
     start("ABANDON");
     field("txn", a.id);
     out.Key("try");
     out.Int(a.attempt);
     out.EndObject();
   }
-  void operator()(const qu::SetTimer& a) const {
+  void operator()(const balancer::SetTimer& a) const {
     start("TIMER");
     field("dueAt", a.at);
     out.Key("keyBack");
     out.Uint64(a.token);
     out.EndObject();
   }
-  void operator()(const qu::WatchEndpoints&) const {
+  void operator()(const balancer::WatchEndpoints&) const {
     start("TAIL");
     out.Key("want");
     out.Bool(true);
     out.EndObject();
   }
-  void operator()(const qu::LogLine& a) const {
+  void operator()(const balancer::LogLine& a) const {
     start("JOURNAL_LINE");
     field("noteText", a.text);
     out.EndObject();
@@ -140,7 +141,7 @@
     writer_.Reset(buffer_);
     writer_.StartObject();
     writer_.Key("turn");
-    writer_.Uint64(token(batch, "turn"));
+    writer_.Uint64(unsigned_integer(batch, "turn"));
     writer_.Key("nodes");
     writer_.StartArray();
     for (const Json& node : array(batch, "nodes").GetArray()) answer_node(now, node);
@@ -151,14 +152,14 @@
 
  private:
   void answer_node(double now, const Json& node) {
-    const int who = whole(node, "who");
-    std::unique_ptr<qu::Balancer>& balancer = balancers_[who];
+    const int who = integer(node, "who");
+    std::unique_ptr<balancer::Balancer>& balancer = balancers_[who];
     actions_.clear();
     std::optional<std::string> fault;
     for (const Json& item : array(node, "news").GetArray()) {
       try {
         handle(now, item, balancer);
-      } catch (const BadMessage&) {
+      } catch (const FormatError&) {
         throw;
       } catch (const std::exception& problem) {  // the library's own: the bench wants to hear of it
         if (!fault) fault = problem.what();
@@ -170,7 +171,7 @@
     writer_.Int(who);
     writer_.Key("steps");
     writer_.StartArray();
-    for (const qu::Action& action : actions_) std::visit(WriteAction{writer_}, action);
+    for (const balancer::Action& action : actions_) std::visit(WriteAction{writer_}, action);
     if (fault) {
       writer_.StartObject();
       writer_.Key("kind");
@@ -183,69 +184,71 @@
     writer_.EndObject();
   }
 
-  void handle(double now, const Json& item, std::unique_ptr<qu::Balancer>& balancer) {
-    const std::string_view kind = text(item, "kind");
+  void handle(double now, const Json& item, std::unique_ptr<balancer::Balancer>& balancer) {
+    const std::string_view kind = string(item, "kind");
     if (kind == "TABLE") {
       read_table(item);
       return;
     }
     if (kind == "OPEN_INSTANCE") {
       balancer.reset();
-      balancer = std::make_unique<qu::Balancer>(read_settings(need(item, "config")), token(item, "initSeed"));
+      balancer = std::make_unique<balancer::Balancer>(read_settings(require(item, "config")),
+                                                      unsigned_integer(item, "initSeed"));
       actions_.clear();  // what an instance said before it was stopped in this batch is void
-      balancer->handle(now, qu::Started{}, actions_);
+      balancer->handle(now, balancer::Started{}, actions_);
     } else if (kind == "POWER_OFF") {
       balancer.reset();
       actions_.clear();
-    } else if (const std::optional<qu::Event> event = read_event(kind, item); event && balancer != nullptr) {
+    } else if (const std::optional<balancer::Event> event = read_event(kind, item);
+               event && balancer != nullptr) {
       balancer->handle(now, *event, actions_);
     }
   }
 
   void read_table(const Json& item) {
-    std::vector<qu::Endpoint> servers;
+    std::vector<balancer::Endpoint> servers;
     for (const Json& entry : array(item, "nodesList").GetArray()) servers.push_back(read_server(entry));
-    tables_[whole(item, "sheet")] = std::move(servers);
+    tables_[integer(item, "sheet")] = std::move(servers);
   }
 
-  std::optional<qu::Event> read_event(std::string_view kind, const Json& item) const {
+  std::optional<balancer::Event> read_event(std::string_view kind, const Json& item) const {
     if (kind == "QUERY") return read_request(item);
     if (kind == "DONE") {
-      return qu::AttemptResult{std::string(text(item, "txn")), whole_or(item, "try", 0),
-                               read_outcome(text(item, "outcome")), number_or(item, "lag", 0),
-                               flag(item, "doneFlag")};
+      return balancer::AttemptResult{std::string(string(item, "txn")), integer_or(item, "try", 0),
+                                     read_outcome(string(item, "outcome")), number_or(item, "lag", 0),
+                                     flag(item, "doneFlag")};
     }
-    if (kind == "FIRED") return qu::TimerFired{token(item, "keyBack")};
-    if (kind == "GONE") return qu::RequestAborted{std::string(text(item, "txn"))};
+    if (kind == "FIRED") return balancer::TimerFired{unsigned_integer(item, "keyBack")};
+    if (kind == "GONE") return balancer::RequestAborted{std::string(string(item, "txn"))};
     if (kind == "DIRECTORY_UPDATE") return read_update(item);
     if (kind == "ACK_FIRST") {
-      return qu::ResponseStarted{std::string(text(item, "txn")), whole_or(item, "try", 0),
-                                 number_or(item, "lag", 0)};
+      return balancer::ResponseStarted{std::string(string(item, "txn")), integer_or(item, "try", 0),
+                                       number_or(item, "lag", 0)};
     }
     return std::nullopt;  // STATUS_BACK, MEMO and kinds of later wires: nothing here asks for them
   }
 
-  qu::EndpointUpdate read_update(const Json& item) const {
-    const std::string_view form = text(item, "form");
-    qu::EndpointUpdate out;
+  balancer::EndpointUpdate read_update(const Json& item) const {
+    const std::string_view form = string(item, "form");
+    balancer::EndpointUpdate out;
     if (form == "X") {
-      out.form = qu::EndpointUpdate::Form::kWatchFailed;
+      out.form = balancer::EndpointUpdate::Form::kWatchFailed;
       return out;
     }
     if (form == "D") {
-      out.form = qu::EndpointUpdate::Form::kIncremental;
+      out.form = balancer::EndpointUpdate::Form::kIncremental;
     } else if (form != "F" && form != "C") {
-      wrong("form", "D, F, C or X");
+      throw_unexpected("form", "D, F, C or X");
     }
-    const auto table = tables_.find(whole(item, "sheet"));
-    if (table == tables_.end()) wrong("sheet", "the number of a list that was sent");
+    const auto table = tables_.find(integer(item, "sheet"));
+    if (table == tables_.end()) throw_unexpected("sheet", "the number of a list that was sent");
     out.endpoints = table->second;
     return out;
   }
 
-  std::map<int, std::unique_ptr<qu::Balancer>> balancers_;
-  std::map<int, std::vector<qu::Endpoint>> tables_;  // the numbered lists, shared by the whole process
-  std::vector<qu::Action> actions_;
+  std::map<int, std::unique_ptr<balancer::Balancer>> balancers_;
+  std::map<int, std::vector<balancer::Endpoint>> tables_;  // the numbered lists, shared by the whole process
+  std::vector<balancer::Action> actions_;
   rapidjson::StringBuffer buffer_;
   Writer writer_;
 };
@@ -265,11 +268,11 @@
       rapidjson::Document batch;
       batch.ParseInsitu(line.data());
       if (batch.HasParseError()) {
-        throw BadMessage(std::string("not valid JSON: ") +
-                         rapidjson::GetParseError_En(batch.GetParseError()) + " at byte " +
-                         std::to_string(batch.GetErrorOffset()));
+        throw FormatError(std::string("not valid JSON: ") +
+                          rapidjson::GetParseError_En(batch.GetParseError()) + " at byte " +
+                          std::to_string(batch.GetErrorOffset()));
       }
-      turn = std::to_string(token(batch, "turn"));
+      turn = std::to_string(unsigned_integer(batch, "turn"));
       const rapidjson::StringBuffer& reply = host.answer(batch);
       std::fwrite(reply.GetString(), 1, reply.GetSize(), stdout);
       std::fputc('\n', stdout);
--- /dev/null
+++ b/json/fields.cpp
@@ -0,0 +1,90 @@
+#include "json/fields.h"
+
+#include "rapidjson/error/en.h"
+
+namespace asterdrift::json {
+
+// Iterative, since the nesting of untrusted text must not become the depth of this stack.
+void parse(std::string_view text, rapidjson::Document& document) {
+  document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError()) {
+    throw FormatError(std::string("not valid JSON: ") +
+                      rapidjson::GetParseError_En(document.GetParseError()) + " at byte " +
+                      std::to_string(document.GetErrorOffset()));
+  }
+}
+
+rapidjson::Document parse(std::string_view text) {
+  rapidjson::Document document;
+  parse(text, document);
+  return document;
+}
+
+void throw_unexpected(const char* field, const char* expected) {
+  throw FormatError(std::string("field '") + field + "' is not " + expected);
+}
+
+const Json* find(const Json& object, const char* field) {
+  if (!object.IsObject()) throw FormatError(std::string("not an object where field '") + field + "' belongs");
+  const auto it = object.FindMember(field);
+  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
+}
+
+const Json& require(const Json& object, const char* field) {
+  const Json* value = find(object, field);
+  if (value == nullptr) throw FormatError(std::string("field '") + field + "' is missing");
+  return *value;
+}
+
+double number(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (!value.IsNumber()) throw_unexpected(field, "a number");
+  return value.GetDouble();
+}
+
+double number_or(const Json& object, const char* field, double fallback) {
+  return find(object, field) == nullptr ? fallback : number(object, field);
+}
+
+int integer(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (value.IsInt()) return value.GetInt();
+  throw_unexpected(field, "a whole number in range");
+}
+
+int integer_or(const Json& object, const char* field, int fallback) {
+  return find(object, field) == nullptr ? fallback : integer(object, field);
+}
+
+std::size_t index_or_zero(const Json& object, const char* field) {
+  const int value = integer_or(object, field, 0);
+  if (value < 0) throw_unexpected(field, "a whole number in range");
+  return static_cast<std::size_t>(value);
+}
+
+bool flag(const Json& object, const char* field) {
+  const Json* value = find(object, field);
+  if (value == nullptr) return false;
+  if (!value->IsBool()) throw_unexpected(field, "true or false");
+  return value->GetBool();
+}
+
+std::string_view string(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (!value.IsString()) throw_unexpected(field, "a string");
+  return {value.GetString(), value.GetStringLength()};
+}
+
+std::uint64_t unsigned_integer(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (!value.IsUint64()) throw_unexpected(field, "a whole number from 0");
+  return value.GetUint64();
+}
+
+const Json& array(const Json& object, const char* field) {
+  const Json& value = require(object, field);
+  if (!value.IsArray()) throw_unexpected(field, "an array");
+  return value;
+}
+
+}  // namespace asterdrift::json
--- /dev/null
+++ b/node/admin/admin_connection.cpp
@@ -0,0 +1,142 @@
+#include "node/admin/admin_connection.h"
+
+#include <array>
+#include <boost/asio/write.hpp>
+#include <exception>
+#include <limits>
+#include <string_view>
+#include <utility>
+
+#include "node/base/clock.h"
+#include "node/telemetry/log.h"
+
+namespace asterdrift::node::admin {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using asio::ip::tcp;
+using base::now;
+using boost::system::error_code;
+
+constexpr std::size_t kMostHeadBytes = 8 * 1024;
+constexpr std::size_t kMostDiscardedBytes = 64 * 1024;  // after the response
+constexpr std::size_t kReadSize = 4096;                 // bytes
+constexpr double kCallTimeout = 2.2;  // s for a call, and as long again to take its response
+constexpr double kCloseTimeout = 1;   // s for a peer to close after its response
+
+constexpr std::string_view kTimeoutResponse =
+    "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
+}  // namespace
+
+AdminConnection::AdminConnection(const AdminCallbacks& callbacks, tcp::socket socket)
+    : callbacks_(callbacks), socket_(std::move(socket)), state_since_(now()) {
+  // A body is not read. Without any limit Beast 1.74 takes every Content-Length for too long.
+  parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
+}
+
+void AdminConnection::start(std::function<void()> on_closed) {
+  on_closed_ = std::move(on_closed);
+  read();
+}
+
+bool AdminConnection::is_overdue() const {
+  return now() - state_since_ > (is_closing() ? kCloseTimeout : kCallTimeout);
+}
+
+void AdminConnection::close_overdue() {
+  error_code ignored;
+  if (state_ == State::kReading && has_bytes_) socket_.write_some(asio::buffer(kTimeoutResponse), ignored);
+  close();
+}
+
+void AdminConnection::close() {
+  const auto self = shared_from_this();  // the owner's reference may be the last
+  state_ = State::kClosed;
+  if (const auto on_closed = std::exchange(on_closed_, nullptr)) on_closed();
+  error_code ignored;
+  socket_.close(ignored);
+}
+
+void AdminConnection::wait_readable() {
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& error) {
+    if (self->state_ == State::kClosed) return;
+    if (error) return self->close();
+    self->read();
+  });
+}
+
+// What goes wrong here, be it memory, ends this connection alone.
+void AdminConnection::read() {
+  try {
+    read_available();
+  } catch (const std::exception& error) {
+    telemetry::log_line(std::string("admin connection failed: ") + error.what());
+    close();
+  }
+}
+
+void AdminConnection::read_available() {
+  std::array<char, kReadSize> bytes;
+  error_code error;
+  const std::size_t size = socket_.read_some(asio::buffer(bytes), error);
+  if (error == asio::error::would_block) return wait_readable();
+  if (error) return close();
+  if (is_closing()) {
+    discarded_bytes_ += size;
+    return discarded_bytes_ > kMostDiscardedBytes ? close() : wait_readable();
+  }
+  has_bytes_ = true;
+  input_.append(bytes.data(), size);
+  parse();
+}
+
+void AdminConnection::parse() {
+  error_code error;
+  const std::size_t used = parser_.put(asio::buffer(input_), error);
+  input_.erase(0, used);
+  head_bytes_ += used;
+  // Beast's own limit does not count complete lines.
+  const bool is_too_long = head_bytes_ + input_.size() > kMostHeadBytes;
+  if (is_too_long || error == http::error::header_limit) return respond(431);
+  if (parser_.is_header_done()) return handle_request();
+  if (error && error != http::error::need_more) return respond(400);
+  wait_readable();
+}
+
+void AdminConnection::handle_request() {
+  const auto& head = parser_.get();
+  const std::string_view target(head.target().data(), head.target().size());
+  const std::string_view path = target.substr(0, target.find('?'));
+  if (path != "/ready" && path != "/metrics") return respond(404);
+  if (head.method() != http::verb::get) return respond(405, {}, "Allow: GET\r\n");
+  if (path == "/ready") return respond(callbacks_.is_ready() ? 200 : 503);
+  respond(200, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
+}
+
+void AdminConnection::respond(unsigned status, const std::string& body, const std::string& headers) {
+  state_ = State::kResponding;
+  state_since_ = now();
+  const auto reason = http::obsolete_reason(static_cast<http::status>(status));
+  output_ = "HTTP/1.1 " + std::to_string(status) + " ";
+  output_.append(reason.data(), reason.size()).append("\r\n").append(headers);
+  output_ += "Content-Length: " + std::to_string(body.size()) + "\r\nConnection: close\r\n\r\n" + body;
+  asio::async_write(socket_, asio::buffer(output_),
+                    [self = shared_from_this()](const error_code& error, std::size_t) {
+                      if (self->state_ != State::kResponding) return;
+                      if (error) return self->close();
+                      self->begin_closing();
+                    });
+}
+
+// Closing over unread bytes would reset the connection and might take the response along.
+void AdminConnection::begin_closing() {
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+  state_ = State::kClosing;
+  state_since_ = now();
+  read();
+}
+
+}  // namespace asterdrift::node::admin
--- /dev/null
+++ b/node/admin/admin_server.h
@@ -0,0 +1,44 @@
+// The operators' address: GET /ready and GET /metrics, one call to a connection.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <list>
+#include <memory>
+
+#include "node/admin/admin_connection.h"
+
+namespace asterdrift::node::admin {
+
+// Has a few connections of its own, so that neither many clients nor idle peers keep it from responding.
+class AdminServer {
+ public:
+  // A descriptor for the next one is reserved too.
+  static constexpr std::size_t kMostConnections = 12;
+
+  using Callbacks = AdminCallbacks;
+
+  // Throws boost::system::system_error where the address cannot be listened on.
+  AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
+              Callbacks callbacks);
+
+  void set_max_connections(std::size_t connections) { max_connections_ = connections; }
+  boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+
+ private:
+  void accept();
+  bool accept_one();
+  void start_connection(boost::asio::ip::tcp::socket socket);
+  void evict_one();
+  void close_overdue();
+
+  boost::asio::io_context& io_;
+  const Callbacks callbacks_;
+  std::size_t max_connections_ = kMostConnections;
+  std::list<std::shared_ptr<AdminConnection>> connections_;  // the oldest first
+  boost::asio::ip::tcp::acceptor acceptor_;
+  boost::asio::steady_timer accept_timer_, overdue_timer_;
+};
+
+}  // namespace asterdrift::node::admin
--- /dev/null
+++ b/node/base/body_stream.cpp
@@ -0,0 +1,52 @@
+#include "node/base/body_stream.h"
+
+#include <boost/asio/post.hpp>
+#include <utility>
+
+namespace asterdrift::node::base {
+namespace {
+
+constexpr std::size_t kCapacity = 64 * 1024;       // bytes
+constexpr std::size_t kLeastCapacity = 16 * 1024;  // bytes, where the budget is spent
+
+}  // namespace
+
+BodyStream::BodyStream(boost::asio::io_context& io, MemoryBudget& budget)
+    : io_(io),
+      reservation_(budget),
+      capacity_(reservation_.grow_to(kCapacity) ? kCapacity : kLeastCapacity) {}
+
+void BodyStream::write(std::string_view bytes) {
+  if (abandoned_ || bytes.empty()) return;
+  bytes_.append(bytes);
+  notify(&BodyStream::readable_, &BodyStream::readable_pending_);
+}
+
+void BodyStream::finish(bool complete) {
+  if (is_finished()) return;
+  end_ = complete ? End::kComplete : End::kTruncated;
+  writable_ = nullptr;
+  notify(&BodyStream::readable_, &BodyStream::readable_pending_);
+}
+
+std::string BodyStream::read() {
+  notify(&BodyStream::writable_, &BodyStream::writable_pending_);
+  return std::exchange(bytes_, {});
+}
+
+void BodyStream::abandon() {
+  abandoned_ = true;
+  readable_ = nullptr;
+  std::string().swap(bytes_);
+  notify(&BodyStream::writable_, &BodyStream::writable_pending_);
+}
+
+void BodyStream::notify(Callback BodyStream::*callback, bool BodyStream::*pending) {
+  if (std::exchange(this->*pending, true)) return;
+  boost::asio::post(io_, [self = shared_from_this(), callback, pending] {
+    (*self).*pending = false;
+    if (const Callback notified = (*self).*callback) notified();
+  });
+}
+
+}  // namespace asterdrift::node::base
--- /dev/null
+++ b/node/base/body_stream.h
@@ -0,0 +1,63 @@
+// A body on its way from one connection to another, a bounded number of bytes at a time.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <cstddef>
+#include <functional>
+#include <memory>
+#include <string>
+#include <string_view>
+
+#include "node/base/memory_budget.h"
+
+namespace asterdrift::node::base {
+
+// Bodies up to this size are buffered, so that they can be sent again or wait for a retry's response; larger
+// ones are streamed.
+constexpr std::size_t kMostBufferedBody = 64 * 1024;  // bytes
+// Larger bodies are rejected.
+constexpr std::size_t kLargestBody = 40 * 1024 * 1024;  // bytes
+
+// A bounded buffer between a writer and a reader. Each is notified later, never from within its own call,
+// that the other has moved.
+class BodyStream : public std::enable_shared_from_this<BodyStream> {
+ public:
+  using Callback = std::function<void()>;
+
+  // Where nothing is available in the budget, a body is still streamed, in small pieces.
+  BodyStream(boost::asio::io_context& io, MemoryBudget& budget);
+
+  // The writer's side.
+  bool is_full() const { return bytes_.size() >= capacity_; }
+  bool is_abandoned() const { return abandoned_; }
+  void write(std::string_view bytes);
+  // No more bytes follow. complete: the body has not been cut off.
+  void finish(bool complete);
+  void on_writable(Callback callback) { writable_ = std::move(callback); }
+
+  // The reader's side.
+  bool is_empty() const { return bytes_.empty(); }
+  bool is_finished() const { return end_ != End::kOpen; }
+  bool is_complete() const { return end_ == End::kComplete; }
+  // All bytes that are buffered.
+  std::string read();
+  // Nobody reads any more.
+  void abandon();
+  void on_readable(Callback callback) { readable_ = std::move(callback); }
+
+ private:
+  enum class End { kOpen, kComplete, kTruncated };
+
+  void notify(Callback BodyStream::*callback, bool BodyStream::*pending);
+
+  boost::asio::io_context& io_;
+  MemoryReservation reservation_;
+  std::size_t capacity_;
+  std::string bytes_;
+  End end_ = End::kOpen;
+  bool abandoned_ = false;
+  Callback writable_, readable_;
+  bool writable_pending_ = false, readable_pending_ = false;
+};
+
+}  // namespace asterdrift::node::base
--- /dev/null
+++ b/node/base/http_body.cpp
@@ -0,0 +1,14 @@
+#include "node/base/http_body.h"
+
+#include <array>
+#include <cstdio>
+
+namespace asterdrift::node::base {
+
+std::string chunk_of(const std::string& bytes) {
+  std::array<char, 24> size{};
+  std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
+  return size.data() + bytes + "\r\n";
+}
+
+}  // namespace asterdrift::node::base
--- /dev/null
+++ b/node/base/http_body.h
@@ -0,0 +1,47 @@
+// HTTP/1.1 bodies: chunked framing, and a body type for Beast's parsers.
+#pragma once
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/http/message.hpp>
+#include <boost/optional.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace asterdrift::node::base {
+
+// One chunk as HTTP/1.1 frames it, and the end of a chunked body.
+std::string chunk_of(const std::string& bytes);
+constexpr std::string_view kLastChunk = "0\r\n\r\n";
+
+// A body that is taken out of the parser as it arrives. Beast's string body would reserve all that the
+// Content-Length announces.
+struct IncrementalBody {
+  using value_type = std::string;
+
+  class reader {
+   public:
+    template <bool kRequest, class Fields>
+    reader(boost::beast::http::header<kRequest, Fields>&, std::string& bytes) : bytes_(bytes) {}
+    void init(const boost::optional<std::uint64_t>&, boost::system::error_code& error) { error = {}; }
+    template <class Buffers>
+    std::size_t put(const Buffers& buffers, boost::system::error_code& error) {
+      error = {};
+      std::size_t size = 0;
+      for (auto it = boost::asio::buffer_sequence_begin(buffers);
+           it != boost::asio::buffer_sequence_end(buffers); ++it) {
+        const boost::asio::const_buffer part = *it;
+        bytes_.append(static_cast<const char*>(part.data()), part.size());
+        size += part.size();
+      }
+      return size;
+    }
+    void finish(boost::system::error_code& error) { error = {}; }
+
+   private:
+    std::string& bytes_;
+  };
+};
+
+}  // namespace asterdrift::node::base
--- /dev/null
+++ b/node/config/endpoint_list.cpp
@@ -0,0 +1,79 @@
+#include "node/config/endpoint_list.h"
+
+#include <boost/asio/error.hpp>
+#include <charconv>
+#include <optional>
+
+#include "node/base/clock.h"
+#include "node/config/endpoint_list_reader.h"
+
+namespace asterdrift::node::config {
+namespace {
+
+// A zone that the settings do not name is not this node's own.
+int zone_index(std::string_view name, const std::vector<std::string>& zones) {
+  for (std::size_t i = 0; i < zones.size(); ++i) {
+    if (zones[i] == name) return static_cast<int>(i);
+  }
+  return static_cast<int>(zones.size());
+}
+
+balancer::EndpointState read_state(const json::Json& entry) {
+  const std::string_view health = json::string(entry, "health");
+  if (health == "active") return balancer::EndpointState::kReady;
+  if (health == "leaving") return balancer::EndpointState::kDraining;
+  if (health == "left") return balancer::EndpointState::kRemoved;
+  json::throw_unexpected("health", "active, leaving or left");
+}
+
+}  // namespace
+
+boost::asio::ip::tcp::endpoint read_socket_address(std::string_view text) {
+  const std::size_t colon = text.rfind(':');
+  unsigned short port = 0;
+  boost::system::error_code error = boost::asio::error::invalid_argument;
+  boost::asio::ip::address address;
+  if (colon != std::string_view::npos) {
+    std::string host(text.substr(0, colon));
+    if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
+    address = boost::asio::ip::make_address(host, error);
+    const char* end = text.data() + text.size();
+    const auto [stop, failure] = std::from_chars(text.data() + colon + 1, end, port);
+    if (failure != std::errc() || stop != end) error = boost::asio::error::invalid_argument;
+  }
+  if (error) throw json::FormatError("'" + std::string(text) + "' is not an address and a port");
+  return {address, port};
+}
+
+ListedEndpoint read_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones) {
+  ListedEndpoint out;
+  balancer::Endpoint& endpoint = out.endpoint;
+  endpoint.address = json::string(entry, "host");
+  if (endpoint.address.empty()) json::throw_unexpected("host", "a name");
+  endpoint.state = read_state(entry);
+  if (endpoint.state != balancer::EndpointState::kRemoved) {
+    out.socket_address = read_socket_address(json::string(entry, "dial"));
+  }
+  if (json::find(entry, "site") != nullptr) endpoint.zone = zone_index(json::string(entry, "site"), zones);
+  endpoint.cell = json::integer_or(entry, "block", 0);
+  endpoint.weight = json::number_or(entry, "share", 1);
+  endpoint.started_at = base::steady_time_of_unix_ms(json::number_or(entry, "born_ms", 0));
+  return out;
+}
+
+EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
+                                std::size_t most_endpoints) {
+  EndpointListReader reader(zones, most_endpoints);
+  std::optional<EndpointList> out;
+  while (!text.empty()) {
+    const EndpointListReader::Progress progress = reader.feed(text);
+    const bool has_list = progress.event == EndpointListReader::Event::kList;
+    if (out && (has_list || reader.is_inside_list())) throw EndpointListError("more than one list");
+    if (has_list) out = reader.take_list();
+    text.remove_prefix(progress.bytes);
+  }
+  if (!out) throw EndpointListError("not valid JSON: a list that does not end");
+  return std::move(*out);
+}
+
+}  // namespace asterdrift::node::config
--- /dev/null
+++ b/node/config/endpoint_list.h
@@ -0,0 +1,50 @@
+// Lists of endpoints in discovery's form.
+//
+// The fields of the JSON text have the names that the operators' protocol gives them; they are read here and
+// in endpoint_list_reader.cpp alone.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
+#include <limits>
+#include <stdexcept>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "asterdrift/balancer/events.h"
+#include "json/fields.h"
+
+namespace asterdrift::node::config {
+
+// A list that is not valid, or not one that this node can hold.
+class EndpointListError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+struct ListedEndpoint {
+  balancer::Endpoint endpoint;                    // its address is a name that is the same at every node
+  boost::asio::ip::tcp::endpoint socket_address;  // none for one that has been removed
+};
+
+struct EndpointList {
+  std::uint64_t version = 0;
+  bool is_snapshot = false;  // all endpoints, or only those that changed
+  std::vector<ListedEndpoint> endpoints;
+};
+
+constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
+
+// zones: their names in the order of the settings. most_endpoints: a longer list is refused.
+// Throws EndpointListError.
+EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
+                                std::size_t most_endpoints = kNoLimit);
+
+// One entry of a list. Throws json::FormatError.
+ListedEndpoint read_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones);
+
+// An address and a port, such as 127.0.0.1:3000 or [::1]:3000. Throws json::FormatError.
+boost::asio::ip::tcp::endpoint read_socket_address(std::string_view text);
+
+}  // namespace asterdrift::node::config
--- /dev/null
+++ b/node/config/node_config.h
@@ -0,0 +1,48 @@
+// What a node is told at its start.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
+#include <optional>
+#include <stdexcept>
+#include <string>
+#include <vector>
+
+#include "asterdrift/balancer/settings.h"
+#include "node/config/endpoint_list.h"
+
+namespace asterdrift::node::config {
+
+// A configuration that cannot be read or used. The message names the file or the field.
+class ConfigurationError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+struct NodeConfig {
+  std::string name;
+  boost::asio::ip::tcp::endpoint listen_address, discovery_address;
+  std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // none: no admin server is opened
+  std::uint64_t seed = 0;
+  std::size_t max_sockets = 1024;
+  std::size_t memory_mb = 64;  // MB of 2^20 bytes
+  balancer::Settings settings;
+  std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
+  double connect_timeout = 0.25;                     // s
+  double server_idle_timeout = 5;                    // s; servers close connections that are idle for so long
+  std::optional<EndpointList> known_endpoints;       // as this node last had them; may be old
+};
+
+// Half of the node's memory is for endpoints; a longer list is refused. An endpoint takes about 470 bytes in
+// the balancer and the pools, and 650 while a snapshot is being applied.
+constexpr std::size_t kBytesPerEndpoint = 600;
+std::size_t most_endpoints(std::size_t memory_mb);
+
+// Throws ConfigurationError.
+NodeConfig read_config(const std::string& text);
+
+// Reads the file that $GW_CONFIG names; $GW_MANAGEMENT is the admin address where the file has none. Throws
+// ConfigurationError.
+NodeConfig load_config();
+
+}  // namespace asterdrift::node::config
--- /dev/null
+++ b/node/discovery/discovery_client.cpp
@@ -0,0 +1,151 @@
+#include "node/discovery/discovery_client.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "node/base/clock.h"
+#include "node/discovery/poll_timeouts.h"
+#include "node/telemetry/log.h"
+
+namespace asterdrift::node::discovery {
+
+using base::now;
+using boost::system::error_code;
+using telemetry::log_line;
+
+DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, const config::NodeConfig& config,
+                                 Callbacks callbacks)
+    : io_(io),
+      config_(config),
+      callbacks_(std::move(callbacks)),
+      address_(config.discovery_address),
+      random_(static_cast<std::minstd_rand::result_type>(config.seed)),
+      retry_timer_(io) {
+  if (config.known_endpoints) version_ = config.known_endpoints->version;
+}
+
+DiscoveryClient::~DiscoveryClient() = default;
+
+void DiscoveryClient::watch() {
+  if (current_ || is_moving_) return;
+  const double wait = budget_.wait(now());
+  if (wait > 0) return call_later(wait, [this] { start_watch(); });
+  start_watch();
+}
+
+std::shared_ptr<EndpointWatch> DiscoveryClient::new_watch() {
+  const EndpointWatch::Options options = {address_, needs_snapshot() ? std::nullopt : version_, is_pushed(),
+                                          config_.zones, config::most_endpoints(config_.memory_mb)};
+  EndpointWatch::Callbacks callbacks;
+  callbacks.on_list = [this](EndpointWatch* watch, config::EndpointList&& list, std::size_t first_bytes) {
+    handle_list(watch, list, first_bytes);
+  };
+  callbacks.on_error = [this](EndpointWatch* watch, const WatchError& error) { handle_error(watch, error); };
+  return std::make_shared<EndpointWatch>(io_, options, std::move(callbacks));
+}
+
+void DiscoveryClient::start_watch() {
+  if (current_ || is_moving_) return;
+  current_ = new_watch();
+  current_->start();
+}
+
+// The new address is called at once and for a snapshot, since its versions need not be those of the old one.
+// Nothing known is given up before it has brought one.
+void DiscoveryClient::move_to(const boost::asio::ip::tcp::endpoint& address) {
+  if (address == address_) return;
+  log_line("discovery: moving to " + address.address().to_string() + ":" + std::to_string(address.port()));
+  address_ = address;
+  version_.reset();
+  snapshot_next_ = had_snapshot_ = false;
+  is_moving_ = true;
+  budget_.allow_now();
+  retry_timer_.cancel();
+  if (successor_) successor_->close();
+  start_successor();
+}
+
+void DiscoveryClient::start_successor() {
+  successor_ = new_watch();
+  successor_->start();
+}
+
+void DiscoveryClient::call_later(double wait, std::function<void()> call) {
+  retry_timer_.expires_after(base::duration_of(wait));
+  retry_timer_.async_wait([call = std::move(call)](const error_code& error) {
+    if (!error) call();
+  });
+}
+
+// With jitter: all nodes lose discovery at once and must not come back at once.
+double DiscoveryClient::retry_wait() {
+  const double wait = poll_timeouts::wait(is_pushed()) * (0.5 + jitter() / 2);
+  return std::max(wait, budget_.wait(now()));
+}
+
+// The first snapshot of an address is what was asked for. Each further one that answers a call counts as
+// wasted: repeated again and again, for changes that are not valid or on watches that break, it must not cost
+// more. What comes on an open watch has not been asked for anew and delays no call.
+void DiscoveryClient::handle_list(const EndpointWatch* watch, const config::EndpointList& list,
+                                  std::size_t first_bytes) {
+  if (watch == successor_.get()) {
+    if (current_) current_->close();  // what an abandoned watch says later is old
+    current_ = std::exchange(successor_, nullptr);
+    is_moving_ = false;
+  }
+  if (!is_moving_) version_.reset();  // until the list has been applied
+  callbacks_.on_list(list);
+  if (!is_connected_) log_line("discovery: reconnected");
+  is_connected_ = true;
+  last_invalid_.clear();
+  budget_.record_valid_list();
+  if (list.is_snapshot && had_snapshot_) {
+    budget_.record_waste(now(), first_bytes, jitter(), PollBudget::Waste::kRepeated);
+  }
+  if (is_moving_) return;
+  had_snapshot_ = had_snapshot_ || list.is_snapshot;
+  snapshot_next_ = false;
+  version_ = list.version;
+}
+
+void DiscoveryClient::handle_error(const EndpointWatch* watch, const WatchError& error) {
+  if (watch != current_.get() && watch != successor_.get()) return;
+  log_error(error);
+  record_error(error);
+  if (watch == successor_.get()) {  // the balancer has not asked for this one: it is called again here
+    successor_.reset();
+    return call_later(retry_wait(), [this] { start_successor(); });
+  }
+  current_.reset();
+  if (is_moving_) return;
+  if (is_pushed()) call_later(retry_wait(), [this] { start_watch(); });
+  callbacks_.on_watch_failed();
+}
+
+// One line for a connection that was lost, and for each new reason why lists are not valid.
+void DiscoveryClient::log_error(const WatchError& error) {
+  const bool is_new_reason = error.kind == WatchError::Kind::kInvalidList && error.message != last_invalid_;
+  if (is_connected_ || is_new_reason)
+    log_line("discovery: " + error.message + "; keeping the last endpoint list");
+  is_connected_ = false;
+}
+
+void DiscoveryClient::record_error(const WatchError& error) {
+  const bool is_invalid = error.kind == WatchError::Kind::kInvalidList;
+  budget_.record_waste(now(), error.wasted_bytes, jitter(),
+                       is_invalid ? PollBudget::Waste::kInvalid : PollBudget::Waste::kTruncated);
+  if (is_invalid) {
+    last_invalid_ = error.message;
+    // Changes that are not valid would come again, so that a snapshot is needed next; where it is the
+    // snapshot that is not valid, the changes since the last good list may be.
+    snapshot_next_ = !error.is_first_snapshot;
+    budget_.record_invalid_list(now(), jitter());
+  }
+  const double wait = budget_.wait(now());
+  if (!budget_.is_spent() || wait <= 0) return;
+  log_line("discovery: next call in " + std::to_string(static_cast<int>(std::ceil(wait))) +
+           " s: too many bytes received in vain");
+}
+
+}  // namespace asterdrift::node::discovery
--- /dev/null
+++ b/node/discovery/discovery_client.h
@@ -0,0 +1,72 @@
+// Keeps a node informed of the endpoints that discovery lists.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <random>
+#include <string>
+
+#include "node/config/node_config.h"
+#include "node/discovery/endpoint_watch.h"
+#include "node/discovery/poll_budget.h"
+
+namespace asterdrift::node::discovery {
+
+// Has one watch at a time, and another one after it has failed. While discovery moves to another address, a
+// second watch at the new address takes over as soon as it has brought a list.
+class DiscoveryClient {
+ public:
+  struct Callbacks {
+    std::function<void(const config::EndpointList&)> on_list;
+    std::function<void()> on_watch_failed;
+  };
+
+  // config has to outlive the client.
+  DiscoveryClient(boost::asio::io_context& io, const config::NodeConfig& config, Callbacks callbacks);
+  ~DiscoveryClient();
+
+  // Starts a watch unless one is under way. Where the balancer asks for watches it also chooses when to ask
+  // again; elsewhere the client does. In both cases a watch starts later where too much has been wasted.
+  void watch();
+
+  // Discovery is at another address from now on. Until that has brought a list, the old watch still counts.
+  void move_to(const boost::asio::ip::tcp::endpoint& address);
+
+ private:
+  bool is_pushed() const { return !config_.settings.requires_watch; }
+  bool needs_snapshot() const { return !version_ || snapshot_next_; }
+  double jitter() { return std::uniform_real_distribution<>(0, 1)(random_); }
+
+  std::shared_ptr<EndpointWatch> new_watch();
+  void start_watch();
+  void start_successor();
+  void call_later(double wait, std::function<void()> call);
+  double retry_wait();
+  void handle_list(const EndpointWatch* watch, const config::EndpointList& list, std::size_t first_bytes);
+  void handle_error(const EndpointWatch* watch, const WatchError& error);
+  void log_error(const WatchError& error);
+  void record_error(const WatchError& error);
+
+  boost::asio::io_context& io_;
+  const config::NodeConfig& config_;
+  const Callbacks callbacks_;
+  boost::asio::ip::tcp::endpoint address_;
+  std::optional<std::uint64_t> version_;  // of this address's last list; without it a snapshot is needed
+  bool snapshot_next_ = false;            // the changes since then are not valid
+  bool had_snapshot_ = false;             // from this address
+  std::shared_ptr<EndpointWatch> current_;
+  std::shared_ptr<EndpointWatch> successor_;  // at an address that has not brought a list yet
+  bool is_moving_ = false;                    // there is such an address
+  bool is_connected_ = true;                  // the last event was a list, not an error
+  std::string last_invalid_;                  // message of the last list that was not valid, logged once
+  PollBudget budget_;
+  std::minstd_rand random_;
+  boost::asio::steady_timer retry_timer_;
+};
+
+}  // namespace asterdrift::node::discovery
--- /dev/null
+++ b/node/discovery/endpoint_watch.h
@@ -0,0 +1,81 @@
+// One call to discovery: a stream of endpoint lists over HTTP/1.1.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/core/tcp_stream.hpp>
+#include <boost/beast/http.hpp>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "node/config/endpoint_list_reader.h"
+
+namespace asterdrift::node::discovery {
+
+// Why a watch has ended.
+struct WatchError {
+  enum class Kind {
+    kConnect,      // no connection
+    kWrite,        // the call could not be written
+    kResponse,     // no head of a response, or a status other than 200
+    kStream,       // the stream broke, was silent or ended
+    kInvalidList,  // a list that is not valid
+  };
+  Kind kind = Kind::kStream;
+  std::string message;
+  std::size_t wasted_bytes = 0;    // received since the last list
+  bool is_first_snapshot = false;  // the watch asked for a snapshot and had no list yet
+};
+
+class EndpointWatch : public std::enable_shared_from_this<EndpointWatch> {
+ public:
+  struct Options {
+    boost::asio::ip::tcp::endpoint address;
+    std::optional<std::uint64_t> since;  // only changes after this version; none: a snapshot first
+    bool is_pushed = false;              // discovery is an agent on this machine
+    const std::vector<std::string>& zones;
+    std::size_t most_endpoints = 0;
+  };
+
+  struct Callbacks {
+    // A list, and the bytes of the first one of this watch; 0 for later ones.
+    std::function<void(EndpointWatch*, config::EndpointList&&, std::size_t first_bytes)> on_list;
+    // The watch has ended by itself. Not called after close().
+    std::function<void(EndpointWatch*, const WatchError&)> on_error;
+  };
+
+  EndpointWatch(boost::asio::io_context& io, const Options& options, Callbacks callbacks);
+
+  void start();
+  void close();
+
+ private:
+  void write_request();
+  void read_head();
+  void read_body();
+  void handle_body();
+  void handle_lines(std::string_view bytes);
+  void on_alive();
+  void set_deadline(double time);
+  void fail(WatchError::Kind kind, const std::string& message);
+
+  const Options options_;
+  const Callbacks callbacks_;
+  double began_ = 0;
+  boost::beast::tcp_stream stream_;
+  boost::beast::flat_buffer buffer_;
+  boost::beast::http::request<boost::beast::http::empty_body> request_;
+  boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
+  config::EndpointListReader reader_;
+  std::size_t unused_bytes_ = 0;           // since the last list or line
+  std::size_t unused_bytes_at_alive_ = 0;  // when the watch was last seen alive
+  bool had_list_ = false, closed_ = false;
+};
+
+}  // namespace asterdrift::node::discovery
--- /dev/null
+++ b/node/dispatch/messages.h
@@ -0,0 +1,38 @@
+// A client's request and its response, between the downstream server and the request dispatcher.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "asterdrift/balancer/events.h"
+#include "node/base/body_stream.h"
+#include "node/base/memory_budget.h"
+#include "node/upstream/attempt.h"
+
+namespace asterdrift::node::dispatch {
+
+// A request that has been read and is valid.
+struct DownstreamRequest {
+  balancer::Request facts;  // the dispatcher fills in id, time_left and body_arriving
+  std::shared_ptr<upstream::UpstreamRequest> forwarded;
+  std::string client_id;   // of the client's Request-Id header
+  double received_at = 0;  // on the steady clock
+  double timeout = 0;      // s, from when the client sent its last byte
+  // Whether the client has closed its side of the connection; empty: that cannot be known.
+  std::function<bool()> has_client_left;
+};
+
+// The final response.
+struct Response {
+  unsigned status = 500;
+  double retry_after = 0;  // s; 0: no header
+  std::string body = {}, content_type = {};
+  base::MemoryReservation body_reservation = {};
+  std::shared_ptr<base::BodyStream> streamed_body = {};  // of a streamed response: all of its body
+  std::optional<std::uint64_t> content_length = {};      // of that, where it is known
+};
+
+}  // namespace asterdrift::node::dispatch
--- /dev/null
+++ b/node/downstream/request_parser.cpp
@@ -0,0 +1,55 @@
+#include "node/downstream/request_parser.h"
+
+#include <boost/asio/buffer.hpp>
+
+#include "node/base/body_stream.h"
+
+namespace asterdrift::node::downstream {
+namespace {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+constexpr unsigned kHttp11 = 11;
+
+// Whether a header line goes on in the next line. Beast joins such lines, other programs read them as two.
+bool has_folded_header(std::string_view bytes) {
+  const std::string_view head = bytes.substr(0, bytes.find("\r\n\r\n"));
+  return head.find("\r\n ") != std::string_view::npos || head.find("\r\n\t") != std::string_view::npos;
+}
+
+unsigned status_of(const error_code& error) {
+  if (error == http::error::body_limit) return kPayloadTooLarge;
+  return error == http::error::header_limit ? kHeaderFieldsTooLarge : kBadRequest;
+}
+
+}  // namespace
+
+// Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit, and takes the
+// body for more of the head.
+RequestParser::RequestParser() { parser_.body_limit(base::kLargestBody); }
+
+RequestParser::Event RequestParser::parse(std::string_view& bytes) {
+  const bool in_head = !parser_.is_header_done();
+  if (in_head && has_folded_header(bytes)) throw RequestError(kBadRequest);
+  error_code error;
+  const std::size_t used = parser_.put(boost::asio::buffer(bytes.data(), bytes.size()), error);
+  bytes.remove_prefix(used);
+  // Beast's own limit does not count complete lines.
+  if (in_head) head_bytes_ += used;
+  if (head_bytes_ > kMostHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
+  if (error == http::error::need_more) return Event::kNeedsMore;
+  if (error) throw RequestError(status_of(error));
+  if (in_head && parser_.is_header_done()) return Event::kHead;
+  if (used == 0) return Event::kNeedsMore;
+  return in_head ? Event::kProgress : Event::kBody;
+}
+
+bool RequestParser::client_reads_chunks() const { return parser_.get().version() >= kHttp11; }
+
+std::optional<std::uint64_t> RequestParser::content_length() const {
+  const auto length = parser_.content_length();
+  return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
+}
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/downstream/request_parser.h
@@ -0,0 +1,48 @@
+// A client's request as it arrives. No I/O.
+#pragma once
+
+#include <boost/beast/http.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "node/base/http_body.h"
+#include "node/downstream/request_error.h"
+
+namespace asterdrift::node::downstream {
+
+class RequestParser {
+ public:
+  using Head = boost::beast::http::header<true, boost::beast::http::fields>;
+
+  enum class Event {
+    kNeedsMore,  // nothing more can be parsed of these bytes
+    kProgress,   // a part of the head
+    kHead,       // the head is complete
+    kBody        // a part of the body
+  };
+
+  static constexpr std::size_t kMostHeadBytes = 8 * 1024;  // of a request's head and of a chunk's
+
+  RequestParser();
+
+  // Parses up to the next event, and removes from `bytes` what it has parsed. Throws RequestError.
+  Event parse(std::string_view& bytes);
+
+  bool is_done() const { return parser_.is_done(); }
+  const Head& head() const { return parser_.get().base(); }
+  boost::beast::http::verb method() const { return parser_.get().method(); }
+  bool keeps_connection() const { return parser_.get().keep_alive(); }
+  bool client_reads_chunks() const;  // HTTP/1.1
+  std::optional<std::uint64_t> content_length() const;
+  // The part of the body that has been parsed; the caller may take it away.
+  std::string& body() { return parser_.get().body(); }
+
+ private:
+  boost::beast::http::request_parser<base::IncrementalBody> parser_;
+  std::size_t head_bytes_ = 0;
+};
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/downstream/request_validator.cpp
@@ -0,0 +1,161 @@
+#include "node/downstream/request_validator.h"
+
+#include <algorithm>
+#include <array>
+#include <boost/beast/core/string.hpp>
+#include <boost/beast/http/field.hpp>
+#include <boost/beast/http/verb.hpp>
+#include <charconv>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <utility>
+
+namespace asterdrift::node::downstream {
+namespace {
+
+namespace http = boost::beast::http;
+using Head = RequestParser::Head;
+
+constexpr double kLongestTimeout = 600;           // s
+constexpr std::size_t kLongestHeaderValue = 128;  // bytes of an id or a key
+constexpr std::size_t kLongestTarget = 2048;      // bytes
+constexpr std::size_t kMostLengthDigits = 18;
+
+// The headers with a meaning here, at most one of each; they are forwarded to the server, except for the
+// timeout.
+constexpr std::array kOwnHeaders = {"Request-Id",      "Request-Class", "Tenant",    "Request-Timeout-Ms",
+                                    "Idempotency-Key", "Client-Retry",  "Work-Hint", "Request-Info"};
+// The others that are forwarded. All else says nothing to a server, or belongs to the one connection.
+constexpr std::array kForwardedHeaders = {"Host", "Cookie", "Content-Type"};
+
+std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+
+std::optional<std::uint64_t> parse_integer(std::string_view text) {
+  std::uint64_t value = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  return value;
+}
+
+std::shared_ptr<upstream::UpstreamRequest> forwarded_request(const Head& head) {
+  auto request = std::make_shared<upstream::UpstreamRequest>();
+  std::string& out = request->head;
+  out.append(view(head.method_string())).append(" ").append(view(head.target())).append(" HTTP/1.1\r\n");
+  const auto forward = [&](const char* name) {
+    for (auto [it, end] = head.equal_range(name); it != end; ++it) {
+      out.append(name).append(": ").append(view(it->value())).append("\r\n");
+    }
+  };
+  for (const char* name : kForwardedHeaders) forward(name);
+  for (const char* name : kOwnHeaders) {
+    if (std::string_view(name) != "Request-Timeout-Ms") forward(name);
+  }
+  return request;
+}
+
+// A header that this node would read in one way and a server in another is rejected.
+void check_own_headers(const Head& head) {
+  for (const char* name : kOwnHeaders) {
+    if (head.count(name) > 1) throw RequestError(kBadRequest, "a header twice");
+    if (head[name].size() > kLongestHeaderValue && std::string_view(name) != "Request-Info") {
+      throw RequestError(kBadRequest, "a header too long");
+    }
+  }
+  if (head.target().size() > kLongestTarget) throw RequestError(kUriTooLong, "target too long");
+}
+
+double read_timeout(const Head& head, double timeout_of_class) {
+  if (head.count("Request-Timeout-Ms") == 0) return timeout_of_class;
+  const auto ms = parse_integer(view(head["Request-Timeout-Ms"]));
+  if (!ms || *ms == 0) throw RequestError(kBadRequest, "bad Request-Timeout-Ms");
+  return std::min(static_cast<double>(*ms) / 1000, kLongestTimeout);
+}
+
+std::optional<double> read_announced_work(const Head& head) {
+  if (head.count("Work-Hint") == 0) return std::nullopt;
+  const auto us = parse_integer(view(head["Work-Hint"]));
+  return us ? std::optional(static_cast<double>(*us) / 1e6) : std::nullopt;
+}
+
+std::unordered_map<std::string, std::size_t> index_of(const std::vector<std::string>& names) {
+  std::unordered_map<std::string, std::size_t> indexes;
+  for (const std::string& name : names) indexes.emplace(name, indexes.size());
+  return indexes;
+}
+
+}  // namespace
+
+std::string_view RequestValidator::path_of(const Head& head) {
+  const std::string_view target = view(head.target());
+  return target.substr(0, target.find('?'));
+}
+
+RequestValidator::RequestValidator(const config::NodeConfig& config)
+    : class_indexes_(index_of(config.classes)),
+      tenant_indexes_(index_of(config.tenants)),
+      classes_(config.settings.classes) {}
+
+// Against request smuggling, that is a second request hidden in a body. Beast 1.74 rejects a length beside
+// "chunked", but takes a length after any other encoding, a list of encodings that ends in "chunked", and the
+// same length twice.
+void RequestValidator::check_framing(const Head& head) {
+  const std::size_t lengths = head.count(http::field::content_length);
+  const std::size_t encodings = head.count(http::field::transfer_encoding);
+  if (lengths + encodings > 1) throw RequestError(kBadRequest, "more than one length");
+  if (lengths == 1) {
+    const std::string_view length = view(head[http::field::content_length]);
+    if (length.empty() || length.size() > kMostLengthDigits || !parse_integer(length)) {
+      throw RequestError(kBadRequest, "bad Content-Length");
+    }
+  }
+  if (encodings == 1 && !boost::beast::iequals(head[http::field::transfer_encoding], "chunked")) {
+    throw RequestError(kBadRequest, "unknown Transfer-Encoding");
+  }
+}
+
+dispatch::DownstreamRequest RequestValidator::read(const Head& head) const {
+  check_own_headers(head);
+  dispatch::DownstreamRequest out;
+  out.client_id = std::string(view(head["Request-Id"]));
+  if (out.client_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
+  out.facts.request_class = read_class(head);
+  out.facts.tenant = read_tenant(head);
+  const balancer::RequestClass& request_class = classes_[out.facts.request_class];
+  check_class(head, request_class);
+  out.timeout = read_timeout(head, request_class.timeout);
+  out.facts.announced_work = read_announced_work(head);
+  out.facts.is_client_retry = head["Client-Retry"] == "1";
+  out.forwarded = forwarded_request(head);
+  return out;
+}
+
+std::size_t RequestValidator::read_class(const Head& head) const {
+  const auto it = class_indexes_.find(std::string(view(head["Request-Class"])));
+  if (it == class_indexes_.end()) throw RequestError(kBadRequest, "unknown Request-Class");
+  return it->second;
+}
+
+std::size_t RequestValidator::read_tenant(const Head& head) const {
+  if (tenant_indexes_.empty()) return 0;
+  const auto it = tenant_indexes_.find(std::string(view(head["Tenant"])));
+  if (it == tenant_indexes_.end()) throw RequestError(kBadRequest, "unknown Tenant");
+  return it->second;
+}
+
+// What servers take for idempotent, or cannot tell from a duplicate, would run twice.
+void RequestValidator::check_class(const Head& head, const balancer::RequestClass& request_class) const {
+  const bool is_idempotent = request_class.idempotency == balancer::Idempotency::kIdempotent;
+  const bool needs_key = request_class.idempotency == balancer::Idempotency::kIdempotencyKey;
+  if (head.method() != (is_idempotent ? http::verb::get : http::verb::post)) {
+    throw RequestError(kBadRequest, "the method does not belong to the class");
+  }
+  if (needs_key == head["Idempotency-Key"].empty()) {
+    throw RequestError(kBadRequest, "Idempotency-Key does not belong to the class");
+  }
+  const std::string_view length = view(head[http::field::content_length]);
+  const bool has_body = head.count(http::field::transfer_encoding) > 0 || (!length.empty() && length != "0");
+  if (is_idempotent && has_body) throw RequestError(kBadRequest, "a body where none belongs");
+}
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/downstream/response_writer.cpp
@@ -0,0 +1,85 @@
+#include "node/downstream/response_writer.h"
+
+#include <boost/beast/http/status.hpp>
+#include <cstdio>
+#include <utility>
+
+#include "node/base/http_body.h"
+
+namespace asterdrift::node::downstream {
+namespace {
+
+namespace http = boost::beast::http;
+
+bool has_unknown_length(const dispatch::Response& response) {
+  return response.streamed_body && !response.content_length;
+}
+
+std::string retry_after_header(double seconds) {
+  std::array<char, 32> text{};
+  std::snprintf(text.data(), text.size(), "Retry-After: %.3f\r\n", seconds);
+  return text.data();
+}
+
+std::string head_of(const dispatch::Response& response, bool close_connection, bool is_chunked) {
+  std::string head = "HTTP/1.1 " + std::to_string(response.status) + " ";
+  const auto reason = http::obsolete_reason(static_cast<http::status>(response.status));
+  head.append(reason.data(), reason.size()).append("\r\n");
+  if (is_chunked) {
+    head += "Transfer-Encoding: chunked\r\n";
+  } else if (!has_unknown_length(response)) {
+    const std::uint64_t length = response.streamed_body ? *response.content_length : response.body.size();
+    head += "Content-Length: " + std::to_string(length) + "\r\n";
+  }
+  if (!response.content_type.empty()) head += "Content-Type: " + response.content_type + "\r\n";
+  if (response.retry_after > 0) head += retry_after_header(response.retry_after);
+  if (close_connection) head += "Connection: close\r\n";
+  return head + "\r\n";
+}
+
+}  // namespace
+
+bool ends_with_connection(const dispatch::Response& response, bool client_reads_chunks) {
+  return has_unknown_length(response) && !client_reads_chunks;
+}
+
+void ResponseWriter::begin(dispatch::Response&& response, const Options& options) {
+  is_chunked_ = has_unknown_length(response) && options.client_reads_chunks;
+  piece_ = head_of(response, options.close_connection, is_chunked_);
+  response_ = std::move(response);
+  if (options.head_only) response_.body.clear();
+  has_body_ = true;
+  stream_ = std::exchange(response_.streamed_body, nullptr);
+}
+
+void ResponseWriter::reset() {
+  piece_.clear();
+  response_ = {};
+}
+
+std::array<boost::asio::const_buffer, 2> ResponseWriter::buffers() const {
+  return {boost::asio::buffer(piece_),
+          has_body_ ? boost::asio::buffer(response_.body) : boost::asio::const_buffer()};
+}
+
+ResponseWriter::Next ResponseWriter::next() {
+  has_body_ = false;
+  if (!stream_) return Next::kComplete;
+  if (!stream_->is_empty()) {
+    piece_ = is_chunked_ ? base::chunk_of(stream_->read()) : stream_->read();
+    return Next::kPiece;
+  }
+  if (!stream_->is_finished()) return Next::kWait;
+  if (!stream_->is_complete()) return Next::kTruncated;
+  stream_.reset();
+  if (!is_chunked_) return Next::kComplete;
+  piece_ = base::kLastChunk;
+  return Next::kPiece;
+}
+
+void ResponseWriter::abandon() {
+  if (stream_) stream_->abandon();
+  stream_.reset();
+}
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/downstream/response_writer.h
@@ -0,0 +1,53 @@
+// The bytes of a response that is being written to a client. No I/O.
+#pragma once
+
+#include <array>
+#include <boost/asio/buffer.hpp>
+#include <memory>
+#include <string>
+
+#include "node/base/body_stream.h"
+#include "node/dispatch/messages.h"
+
+namespace asterdrift::node::downstream {
+
+class ResponseWriter {
+ public:
+  enum class Next {
+    kPiece,      // there are more bytes to write
+    kWait,       // the server has not sent more yet
+    kTruncated,  // the server has broken off
+    kComplete    // all has been written
+  };
+
+  struct Options {
+    bool close_connection = false;     // says so to the client
+    bool client_reads_chunks = false;  // else a body of unknown length ends with the connection
+    bool head_only = false;            // the response to a HEAD request
+  };
+
+  void begin(dispatch::Response&& response, const Options& options);
+  void reset();
+
+  // The current piece.
+  std::array<boost::asio::const_buffer, 2> buffers() const;
+  // After the current piece has been written.
+  Next next();
+
+  // Of a streamed response until it is complete; else null.
+  const std::shared_ptr<base::BodyStream>& stream() const { return stream_; }
+  // The client has gone: the server's bytes have no reader.
+  void abandon();
+
+ private:
+  std::string piece_;            // the head, or a part of a streamed body
+  dispatch::Response response_;  // its body is written behind the head
+  bool has_body_ = false;
+  bool is_chunked_ = false;
+  std::shared_ptr<base::BodyStream> stream_;
+};
+
+// Whether a response's end is told by the end of its connection alone.
+bool ends_with_connection(const dispatch::Response& response, bool client_reads_chunks);
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/downstream/server.cpp
@@ -0,0 +1,232 @@
+#include "node/downstream/server.h"
+
+#include <sys/socket.h>
+
+#include <chrono>
+#include <exception>
+#include <string>
+#include <utility>
+
+#include "node/base/clock.h"
+#include "node/downstream/connection.h"
+#include "node/telemetry/log.h"
+
+namespace asterdrift::node::downstream {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using base::now;
+using boost::system::error_code;
+using telemetry::log_line;
+
+constexpr double kIdleTimeout = 20;  // s without a request
+// s; for a head, from the connection's start if it is its first. A client that sends nothing of use has 3 s.
+constexpr double kReadTimeout = 2.4;
+constexpr double kWriteTimeout = 5;  // s for a client to take any byte of its response
+constexpr double kCloseTimeout = 1;  // s for a client to close after its last response
+// s in which a new connection, or a request that is being read, is not evicted.
+constexpr double kEvictionAge = 0.25;
+constexpr int kEvictionAttempts = 16;  // connections examined to find one that can be evicted
+constexpr int kAcceptsAtOnce = 64;     // then other sockets have their turn
+constexpr int kBacklog = 4096;
+constexpr auto kOverduePeriod = std::chrono::milliseconds(100);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // never a busy loop
+
+// Calls `visit` for the connections of a list while it returns true. A visit may remove its connection.
+template <class Visit>
+void for_each_while(ConnectionList& list, const Visit& visit) {
+  for (auto it = list.begin(); it != list.end();) {
+    const std::shared_ptr<Connection> connection = *it++;
+    if (!visit(*connection)) break;
+  }
+}
+
+// Closes the connections that have been in a list for longer than `limit` seconds.
+template <class Close>
+void close_older(ConnectionList& list, double limit, const Close& close) {
+  for_each_while(list, [&](Connection& connection) {
+    const bool is_older = now() - connection.state_since() > limit;
+    if (is_older) close(connection);
+    return is_older;
+  });
+}
+
+// Closes one idle connection that entered the list before a time. Whether there was one. One with a request
+// that is not read yet must not protect those behind it.
+bool evict_idle(ConnectionList& list, double before) {
+  bool evicted = false;
+  int attempts = 0;
+  for_each_while(list, [&](Connection& connection) {
+    if (attempts++ == kEvictionAttempts || connection.state_since() > before) return false;
+    evicted = connection.close_if_idle();
+    return !evicted;
+  });
+  return evicted;
+}
+
+}  // namespace
+
+Server::Server(asio::io_context& io, const config::NodeConfig& config,
+               dispatch::RequestDispatcher& dispatcher, base::MemoryBudget& body_budget,
+               telemetry::Metrics& metrics, std::size_t max_connections, bool is_shared_address)
+    : state_(io, config, dispatcher, body_budget, metrics, max_connections,
+             [this] { on_connection_closed(); }),
+      acceptor_(io),
+      accept_timer_(io),
+      overdue_timer_(io) {
+  bind(config.listen_address, is_shared_address);
+  close_overdue();
+}
+
+void Server::bind(const tcp::endpoint& address, bool is_shared) {
+  acceptor_.open(address.protocol());
+  acceptor_.set_option(tcp::acceptor::reuse_address(true));
+  if (is_shared) {
+    using reuse_port = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
+    error_code refused;  // then the address is this process's alone, as it would be without the option
+    acceptor_.set_option(reuse_port(true), refused);
+  }
+  acceptor_.bind(address);
+  acceptor_.non_blocking(true);
+}
+
+void Server::listen() {
+  acceptor_.listen(kBacklog);
+  state_.is_listening = true;
+  accept();
+}
+
+void Server::set_max_connections(std::size_t connections) {
+  const bool has_room = connections > state_.max_connections;
+  state_.max_connections = connections;
+  std::size_t excess = state_.has_too_many_connections() ? state_.connections - connections : 0;
+  while (excess > 0 && make_room()) --excess;
+  if (has_room && is_full_) accept();
+}
+
+// Keeps to the limit on descriptors: a connection that does nothing makes room; where there is none, the rest
+// wait in the machine's queue until one closes.
+void Server::accept() {
+  if (is_accepting_ || !state_.is_listening || !acceptor_.is_open()) return;
+  is_accepting_ = true;
+  acceptor_.async_wait(tcp::acceptor::wait_read, [this](const error_code& error) {
+    is_accepting_ = false;
+    if (error == asio::error::operation_aborted) return;
+    if (error) return accept_later();
+    for (int i = 0; i < kAcceptsAtOnce; ++i) {
+      if (!accept_one()) return;
+    }
+    accept();
+  });
+}
+
+// Whether to go on; if not, accepting is resumed later.
+bool Server::accept_one() {
+  if (state_.connections >= state_.max_connections && !make_room()) {
+    if (!is_full_) log_line("downstream connection limit reached: all connections are busy");
+    is_full_ = true;
+    return false;
+  }
+  error_code error;
+  tcp::socket socket(state_.io);
+  acceptor_.accept(socket, error);
+  if (error == asio::error::would_block || error == asio::error::connection_aborted) {
+    accept();
+    return false;
+  }
+  if (error) {  // no descriptor left, most likely
+    accept_later();
+    return false;
+  }
+  is_full_ = false;
+  adopt(std::move(socket));
+  return true;
+}
+
+void Server::accept_later() {
+  if (make_room()) return accept();
+  accept_timer_.expires_after(kAcceptRetryDelay);
+  accept_timer_.async_wait([this](const error_code& error) {
+    if (!error) accept();
+  });
+}
+
+void Server::adopt(tcp::socket socket) {
+  error_code error;
+  socket.set_option(tcp::no_delay(true), error);
+  socket.non_blocking(true, error);
+  if (error) return;
+  try {
+    std::make_shared<Connection>(state_, std::move(socket))->start();
+  } catch (const std::exception& failure) {
+    log_line(std::string("downstream connection not accepted: ") + failure.what());
+  }
+}
+
+void Server::on_connection_closed() {
+  if (is_full_) accept();
+}
+
+// The least useful go first: those that have their last response, those that never sent a byte, those that
+// are idle, and last those that are slow to send. Clients that have just connected and are about to send are
+// spared: evicted at once, they would come again and evict each other without end.
+bool Server::make_room() {
+  ConnectionLists& lists = state_.lists;
+  if (!lists.closing.empty()) {
+    const std::shared_ptr<Connection> oldest = lists.closing.front();
+    oldest->close();
+    return true;
+  }
+  if (evict_idle(lists.fresh, now() - kEvictionAge) || evict_idle(lists.idle, now())) return true;
+  if (lists.reading.empty()) return evict_idle(lists.fresh, now());
+  const std::shared_ptr<Connection> slowest = lists.reading.front();
+  return slowest->close_if_slow(kEvictionAge) || evict_idle(lists.fresh, now());
+}
+
+void Server::close_overdue() {
+  const auto close_if_idle = [](Connection& connection) { connection.close_if_idle(); };
+  const auto close_if_slow = [](Connection& connection) {
+    return connection.close_if_slow(kReadTimeout), true;
+  };
+  ConnectionLists& lists = state_.lists;
+  close_older(lists.fresh, kReadTimeout, close_if_idle);
+  close_older(lists.idle, kIdleTimeout, close_if_idle);
+  close_older(lists.closing, kCloseTimeout, [](Connection& connection) { connection.close(); });
+  for_each_while(lists.reading, close_if_slow);
+  for_each_while(lists.uploading, close_if_slow);
+  for_each_while(lists.uploading,
+                 [](Connection& connection) { return connection.close_if_client_left(), true; });
+  for_each_while(lists.writing,
+                 [](Connection& connection) { return connection.close_if_stuck(kWriteTimeout), true; });
+  overdue_timer_.expires_after(kOverduePeriod);
+  overdue_timer_.async_wait([this](const error_code& error) {
+    if (!error) close_overdue();
+  });
+}
+
+void Server::close_idle() {
+  state_.closes_after_responses = true;
+  for (const ConnectionList* list : {&state_.lists.fresh, &state_.lists.idle}) {
+    const ConnectionList all = *list;
+    for (const std::shared_ptr<Connection>& connection : all) connection->close_if_idle();
+  }
+}
+
+void Server::reject_partial_requests() {
+  const ConnectionList all = state_.lists.reading;
+  for (const std::shared_ptr<Connection>& connection : all) connection->reject_partial_request();
+}
+
+void Server::stop_accepting() {
+  for (error_code error; state_.is_listening && !error;) {
+    tcp::socket socket(state_.io);
+    acceptor_.accept(socket, error);
+    if (!error) adopt(std::move(socket));
+  }
+  error_code ignored;
+  acceptor_.close(ignored);
+  accept_timer_.cancel();
+}
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/downstream/server.h
@@ -0,0 +1,65 @@
+// The clients' side of a node: accepts connections, and keeps them within the limits.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
+
+#include "node/downstream/server_state.h"
+
+namespace asterdrift::node::downstream {
+
+class Server {
+ public:
+  // Binds the address; one that is shared may be bound by other processes of this node too. Throws
+  // boost::system::system_error where it is not available.
+  Server(boost::asio::io_context& io, const config::NodeConfig& config,
+         dispatch::RequestDispatcher& dispatcher, base::MemoryBudget& body_budget,
+         telemetry::Metrics& metrics, std::size_t max_connections, bool is_shared_address);
+
+  // Accepts connections from now on. Throws as above.
+  void listen();
+  bool is_listening() const { return state_.is_listening; }
+  boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+
+  // Idle connections beyond the limit are closed.
+  void set_max_connections(std::size_t connections);
+
+  // Graceful shutdown, step by step. First, /healthz answers 503; clients may go on using their connections.
+  void begin_drain() { state_.is_draining = true; }
+  // Then responses end their connections. Idle ones stay, and new ones are still accepted.
+  void close_after_responses() { state_.closes_after_responses = true; }
+  // Accepts what has been connected by now, and nothing after that.
+  void stop_accepting();
+  // Idle connections are closed too.
+  void close_idle();
+  // Requests of which a part has arrived are rejected.
+  void reject_partial_requests();
+
+  std::size_t connections() const { return state_.connections; }
+  // Connections whose response is owed or being written.
+  std::size_t busy_connections() const { return state_.busy_connections; }
+  // Requests without a complete response.
+  std::size_t pending() const { return state_.pending_requests; }
+  // Whether this process can serve, as clients and operators are told.
+  bool is_ready() const { return state_.is_ready(); }
+
+ private:
+  void bind(const boost::asio::ip::tcp::endpoint& address, bool is_shared);
+  void accept();
+  bool accept_one();
+  void accept_later();
+  void adopt(boost::asio::ip::tcp::socket socket);
+  bool make_room();
+  void on_connection_closed();
+  void close_overdue();
+
+  ServerState state_;
+  bool is_accepting_ = false;  // a wait for the next connection is pending
+  bool is_full_ = false;       // there is no room; the next connection that closes resumes accepting
+  boost::asio::ip::tcp::acceptor acceptor_;
+  boost::asio::steady_timer accept_timer_, overdue_timer_;
+};
+
+}  // namespace asterdrift::node::downstream
--- /dev/null
+++ b/node/process/node.h
@@ -0,0 +1,79 @@
+// The node's process: owns all parts, and leads them from start to replacement.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/signal_set.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <functional>
+#include <optional>
+#include <stdexcept>
+#include <string>
+
+#include "node/admin/admin_server.h"
+#include "node/base/memory_budget.h"
+#include "node/config/node_config.h"
+#include "node/discovery/discovery_client.h"
+#include "node/dispatch/request_dispatcher.h"
+#include "node/downstream/server.h"
+#include "node/process/process_group.h"
+#include "node/process/resource_limits.h"
+#include "node/telemetry/metrics.h"
+
+namespace asterdrift::node::process {
+
+// The address cannot be listened on, after all.
+class ListenError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+class Node {
+ public:
+  // Binds the addresses. Throws boost::system::system_error where they are not available, and
+  // std::invalid_argument where the balancer cannot use the settings. config has to outlive the node.
+  explicit Node(const config::NodeConfig& config);
+
+  // Serves until the process has drained after SIGTERM or SIGINT. Throws ListenError.
+  void run();
+
+ private:
+  void run_event_loop();
+  void await_shutdown();
+  void await_reload();
+  void open_admin_server(const boost::asio::ip::tcp::endpoint& address);
+  void listen();
+
+  // Replacement: beside other processes of this node.
+  void check_process_group();
+  bool may_listen(std::size_t others) const;
+  void apply_limits(const ResourceLimits& limits);
+
+  // Graceful shutdown.
+  void begin_drain();
+  void continue_drain();
+  bool is_draining() const { return drain_began_ > 0; }
+  bool is_drained(double since, bool is_replaced) const;
+
+  std::string metrics_report() const;
+
+  boost::asio::io_context io_;
+  const config::NodeConfig& config_;
+  ProcessGroup process_group_;
+  ResourceLimits limits_;
+  const double started_at_;
+  const double final_response_time_;  // s after SIGTERM; what is open then is answered
+  const bool is_only_replica_;        // of its tier
+  discovery::DiscoveryClient discovery_;
+  base::MemoryBudget body_budget_;
+  telemetry::Metrics metrics_;
+  dispatch::RequestDispatcher dispatcher_;
+  downstream::Server server_;
+  std::optional<admin::AdminServer> admin_server_;
+  boost::asio::signal_set shutdown_signals_, reload_signal_;
+  boost::asio::steady_timer drain_timer_, process_group_timer_;
+  double drain_began_ = 0;
+  bool is_accepting_ = true;
+  std::optional<ListenError> listen_error_;
+};
+
+}  // namespace asterdrift::node::process
--- /dev/null
+++ b/node/process/process_group.cpp
@@ -0,0 +1,77 @@
+#include "node/process/process_group.h"
+
+#include <fcntl.h>
+#include <sys/stat.h>
+#include <unistd.h>
+
+#include <string>
+
+namespace asterdrift::node::process {
+namespace {
+
+// The program's former name. It stays: a process of an older version looks for the others in this file, and
+// only so can it be replaced by one of this version beside it.
+constexpr const char* kLockFilePrefix = "nettlestand-";
+constexpr const char* kLockFileSuffix = ".lock";
+
+constexpr int kMostProcesses = 8;
+constexpr int kStates = 3;  // a byte for each state of each process
+
+// Sets or queries a lock. For a request, whether it has succeeded; for F_GETLK, whether another process holds
+// a lock on the bytes.
+bool lock(int file, short type, int from, int bytes, int command) {
+  struct flock request {};
+  request.l_type = type;
+  request.l_whence = SEEK_SET;
+  request.l_start = from;
+  request.l_len = bytes;
+  const int result = ::fcntl(file, command, &request);
+  return result == 0 && (command != F_GETLK || request.l_type != F_UNLCK);
+}
+
+int byte_of(int slot, ProcessGroup::State state) { return slot * kStates + static_cast<int>(state); }
+
+std::string lock_file_path(const char* directory, const boost::asio::ip::tcp::endpoint& address) {
+  return std::string(directory) + "/" + kLockFilePrefix + address.address().to_string() + "-" +
+         std::to_string(address.port()) + kLockFileSuffix;
+}
+
+bool is_own_regular_file(int file) {
+  struct stat facts {};
+  return ::fstat(file, &facts) == 0 && S_ISREG(facts.st_mode) && facts.st_uid == ::geteuid();
+}
+
+}  // namespace
+
+ProcessGroup::ProcessGroup(const char* directory, const boost::asio::ip::tcp::endpoint& listen_address) {
+  if (directory == nullptr || *directory == 0 || listen_address.port() == 0) return;
+  const std::string path = lock_file_path(directory, listen_address);
+  const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK, 0600);
+  if (file < 0) return;
+  for (slot_ = 0; is_own_regular_file(file) && slot_ < kMostProcesses; ++slot_) {
+    if (!lock(file, F_WRLCK, byte_of(slot_, State::kAlive), 1, F_SETLK)) continue;
+    file_ = file;
+    return;
+  }
+  ::close(file);
+}
+
+ProcessGroup::~ProcessGroup() {
+  if (file_ >= 0) ::close(file_);
+}
+
+void ProcessGroup::publish(State state, bool holds) {
+  if (file_ >= 0) lock(file_, holds ? F_WRLCK : F_UNLCK, byte_of(slot_, state), 1, F_SETLK);
+}
+
+std::size_t ProcessGroup::count_others(State state) const {
+  std::size_t count = 0;
+  // One query tells that there is no other process, as nearly always.
+  if (file_ < 0 || !lock(file_, F_WRLCK, 0, kMostProcesses * kStates, F_GETLK)) return count;
+  for (int slot = 0; slot < kMostProcesses; ++slot) {
+    if (slot != slot_ && lock(file_, F_WRLCK, byte_of(slot, state), 1, F_GETLK)) ++count;
+  }
+  return count;
+}
+
+}  // namespace asterdrift::node::process
--- /dev/null
+++ b/node/process/process_group.h
@@ -0,0 +1,39 @@
+// The processes that run as one node, as while it is being replaced.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
+
+namespace asterdrift::node::process {
+
+// The processes see each other by locks on the bytes of one file in $TMPDIR. A lock ends with its process, so
+// that nothing stale is left.
+class ProcessGroup {
+ public:
+  // What a process publishes, for as long as it lives and has not withdrawn it. The order is that of the
+  // bytes in the file, which other versions of this program read.
+  enum class State {
+    kAlive,          // published from the start
+    kSharingLimits,  // keeps to its part of the node's limits
+    kServing         // takes new connections and can serve them
+  };
+
+  // A node is identified by the address on which it listens. Without a directory, or where the file cannot be
+  // used, no process is seen, and this one is on its own.
+  ProcessGroup(const char* directory, const boost::asio::ip::tcp::endpoint& listen_address);
+  ~ProcessGroup();
+  ProcessGroup(const ProcessGroup&) = delete;
+  ProcessGroup& operator=(const ProcessGroup&) = delete;
+
+  // Whether other processes can see this one.
+  bool is_visible() const { return file_ >= 0; }
+  void publish(State state, bool holds);
+  // How many other processes publish a state now.
+  std::size_t count_others(State state) const;
+
+ private:
+  int file_ = -1;
+  int slot_ = 0;  // of this process in the file
+};
+
+}  // namespace asterdrift::node::process
--- /dev/null
+++ b/node/process/resource_limits.h
@@ -0,0 +1,21 @@
+// The part of the node's limits that one of its processes keeps to.
+#pragma once
+
+#include <cstddef>
+
+#include "node/config/node_config.h"
+
+namespace asterdrift::node::process {
+
+struct ResourceLimits {
+  // processes: how many share the node's limits, this one included.
+  ResourceLimits(const config::NodeConfig& config, std::size_t processes);
+
+  std::size_t processes;
+  std::size_t upstream_connections;
+  std::size_t downstream_connections;
+  std::size_t admin_connections;
+  std::size_t body_bytes;  // for bodies in both directions
+};
+
+}  // namespace asterdrift::node::process
--- /dev/null
+++ b/node/telemetry/metrics.cpp
@@ -0,0 +1,53 @@
+#include "node/telemetry/metrics.h"
+
+#include <algorithm>
+
+namespace asterdrift::node::telemetry {
+namespace {
+
+constexpr unsigned kOk = 200, kTooManyRequests = 429, kServiceUnavailable = 503;
+
+std::string line(const std::string& name, std::uint64_t value, char kind) {
+  return "app." + name + ":" + std::to_string(value) + "|" + kind + "\n";
+}
+
+// Replaces what the report's form gives a meaning to.
+std::string reported_name(std::string name) {
+  const auto is_special = [](unsigned char c) { return c <= ' ' || c == ':' || c == '|' || c == 0x7f; };
+  std::replace_if(name.begin(), name.end(), is_special, '_');
+  return name;
+}
+
+}  // namespace
+
+Metrics::Metrics(const std::vector<std::string>& request_classes) {
+  for (const std::string& name : request_classes) classes_.push_back({reported_name(name)});
+}
+
+void Metrics::count_response(std::size_t request_class, unsigned status) {
+  ClassCounters& counters = classes_.at(request_class);
+  if (status == kOk) {
+    ++counters.completed;
+  } else if (status == kTooManyRequests || status == kServiceUnavailable) {
+    ++counters.rejected;
+  } else {
+    ++counters.failed;
+  }
+}
+
+std::string Metrics::report(const Gauges& gauges) const {
+  std::string out;
+  for (const ClassCounters& counters : classes_) {
+    const std::string prefix = "downstream_requests." + counters.name + ".";
+    out += line(prefix + "completed", counters.completed, 'c');
+    out += line(prefix + "rejected", counters.rejected, 'c');
+    out += line(prefix + "failed", counters.failed, 'c');
+  }
+  out += line("upstream_requests", attempts_, 'c');
+  out += line("pending", gauges.pending, 'g');
+  out += line("members", gauges.members, 'g');
+  out += line("members_unavailable", gauges.members_unavailable, 'g');
+  return out;
+}
+
+}  // namespace asterdrift::node::telemetry
--- /dev/null
+++ b/node/upstream/attempt.h
@@ -0,0 +1,59 @@
+// An attempt at a server: the request that is forwarded, and what becomes of it.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "asterdrift/balancer/events.h"
+#include "node/base/body_stream.h"
+#include "node/base/memory_budget.h"
+
+namespace asterdrift::node::upstream {
+
+// A request as it is forwarded to a server. Shared by the attempts of one request.
+struct UpstreamRequest {
+  std::string head;  // request line and headers, without Request-Timeout-Ms and the empty line
+  std::string body;  // all of it, or its begin
+  base::MemoryReservation body_reservation;
+  std::shared_ptr<base::BodyStream> body_rest;  // what follows while the client still sends it; null: nothing
+  bool is_chunked = false;                      // the length of the body is not known
+  bool rest_consumed = false;                   // a part of the rest has gone out, and is not buffered
+  // Asked before bytes go out: whether the client still waits. May end the attempts of the request.
+  std::function<bool()> is_wanted;
+};
+
+// How an attempt has ended.
+struct AttemptEnd {
+  balancer::Outcome outcome = balancer::Outcome::kUnknown;
+  std::string body, content_type;  // of a successful response that has not been streamed
+  base::MemoryReservation body_reservation;
+  double sent_at = 0;  // when the request was complete, where its body took the client's time; else 0
+};
+
+// A successful response that is too large to be buffered, or too slow to be waited for: its body follows.
+struct StreamedResponse {
+  std::string content_type;
+  std::optional<std::uint64_t> content_length;
+  std::shared_ptr<base::BodyStream> body;
+  double sent_at = 0;  // as above
+};
+
+struct AttemptCallbacks {
+  std::function<void(AttemptEnd&&)> on_end;  // exactly once
+  std::function<void(StreamedResponse&&)> on_response_started;
+  std::function<void()> on_body_consumed;  // UpstreamRequest::rest_consumed is true from now on
+  std::function<void()> on_request_sent;   // the last byte, where the rest took the client's time
+};
+
+class Connection;
+
+// Identifies an attempt. The connection carries other attempts later, with other serial numbers.
+struct AttemptHandle {
+  std::weak_ptr<Connection> connection;
+  std::uint64_t serial = 0;
+};
+
+}  // namespace asterdrift::node::upstream
--- /dev/null
+++ b/node/upstream/request_writer.cpp
@@ -0,0 +1,57 @@
+#include "node/upstream/request_writer.h"
+
+#include <utility>
+
+#include "node/base/http_body.h"
+
+namespace asterdrift::node::upstream {
+
+void RequestWriter::begin(std::shared_ptr<UpstreamRequest> request, std::int64_t timeout_ms) {
+  request_ = std::move(request);
+  written_ = 0;
+  is_last_piece_ = false;
+  owned_ = request_->head;
+  owned_ += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n\r\n";
+  borrowed_ = request_->body;
+  if (request_->is_chunked) {  // the begin of the body is its first chunk
+    owned_ += base::chunk_of(request_->body);
+    borrowed_ = {};
+  }
+}
+
+void RequestWriter::reset() {
+  request_.reset();
+  borrowed_ = {};
+  std::string().swap(owned_);
+}
+
+std::array<boost::asio::const_buffer, 2> RequestWriter::buffers() const {
+  const std::size_t owned = owned_.size();
+  const std::size_t of_borrowed = written_ > owned ? written_ - owned : 0;
+  return {written_ < owned ? boost::asio::buffer(owned_) + written_ : boost::asio::const_buffer(),
+          boost::asio::buffer(borrowed_.data(), borrowed_.size()) + of_borrowed};
+}
+
+RequestWriter::Next RequestWriter::next() {
+  base::BodyStream* const rest = request_->body_rest.get();
+  if (rest == nullptr || is_last_piece_) {
+    std::string().swap(owned_);
+    borrowed_ = {};
+    return Next::kComplete;
+  }
+  if (rest->is_empty() && !rest->is_finished()) return Next::kWait;
+  // The server must not begin a request that it does not get complete.
+  if (rest->is_empty() && !rest->is_complete()) return Next::kTruncated;
+  is_last_piece_ = rest->is_empty();
+  borrowed_ = {};
+  written_ = 0;
+  if (is_last_piece_) {
+    owned_ = request_->is_chunked ? base::kLastChunk : std::string_view();
+    return owned_.empty() ? next() : Next::kPiece;
+  }
+  request_->rest_consumed = true;
+  owned_ = request_->is_chunked ? base::chunk_of(rest->read()) : rest->read();
+  return Next::kPiece;
+}
+
+}  // namespace asterdrift::node::upstream
--- /dev/null
+++ b/node/upstream/response_parser.cpp
@@ -0,0 +1,98 @@
+#include "node/upstream/response_parser.h"
+
+#include <boost/asio/buffer.hpp>
+
+#include "node/base/body_stream.h"
+
+namespace asterdrift::node::upstream {
+namespace {
+
+namespace http = boost::beast::http;
+using balancer::Outcome;
+using boost::system::error_code;
+
+constexpr std::size_t kMostHeadBytes = 16 * 1024;  // of a response's head and of a chunk's
+constexpr int kMostInterimResponses = 8;
+
+}  // namespace
+
+ResponseParser::ResponseParser() { begin_message(); }
+
+// Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit.
+void ResponseParser::begin_message() {
+  parser_.emplace();
+  parser_->body_limit(base::kLargestBody);
+  head_bytes_ = 0;
+}
+
+ResponseParser::Result ResponseParser::parse(std::string_view bytes, const std::function<void()>& on_body) {
+  unparsed_.append(bytes);
+  const Result result = parse_unparsed(on_body);
+  if (result != Result::kIncomplete) return result;
+  return unparsed_.size() > kMostHeadBytes ? Result::kInvalid : Result::kIncomplete;
+}
+
+ResponseParser::Result ResponseParser::parse_unparsed(const std::function<void()>& on_body) {
+  std::size_t from = 0;
+  while (from < unparsed_.size() && !parser_->is_done()) {
+    const bool in_head = !parser_->is_header_done();
+    error_code error;
+    const auto rest = boost::asio::buffer(unparsed_.data() + from, unparsed_.size() - from);
+    const std::size_t used = parser_->put(rest, error);
+    from += used;
+    if (in_head) head_bytes_ += used;
+    if (error && error != http::error::need_more) return Result::kInvalid;
+    if (head_bytes_ > kMostHeadBytes) return Result::kInvalid;
+    if (in_head && parser_->is_header_done() && !has_sound_head()) return Result::kInvalid;
+    if (parser_->is_header_done() && !is_interim()) on_body();
+    if (error == http::error::need_more) break;
+    if (parser_->is_done() && is_interim()) {
+      if (++interim_responses_ > kMostInterimResponses) return Result::kInvalid;
+      begin_message();
+    } else if (used == 0) {
+      break;
+    }
+  }
+  unparsed_.erase(0, from);
+  return parser_->is_done() ? Result::kComplete : Result::kIncomplete;
+}
+
+bool ResponseParser::finish_at_close() {
+  if (!parser_->is_header_done() || !parser_->need_eof() || is_interim()) return false;
+  error_code error;
+  parser_->put_eof(error);
+  return !error && parser_->is_done();
+}
+
+std::string ResponseParser::content_type() const {
+  return std::string(parser_->get()[http::field::content_type]);
+}
+
+std::optional<std::uint64_t> ResponseParser::content_length() const {
+  const auto length = parser_->content_length();
+  return length ? std::optional<std::uint64_t>(*length) : std::nullopt;
+}
+
+bool ResponseParser::is_interim() const {
+  const unsigned status = parser_->get().result_int();
+  return status >= 100 && status < 200 && status != 101;
+}
+
+// Whether a head leaves no doubt where its response ends.
+bool ResponseParser::has_sound_head() const {
+  const auto& head = parser_->get();
+  const std::size_t encodings = head.count(http::field::transfer_encoding);
+  if (head.count(http::field::content_length) + encodings > 1) return false;
+  return encodings == 0 || boost::beast::iequals(head[http::field::transfer_encoding], "chunked");
+}
+
+// Only the two statuses with the server's word for it prove that a request never ran.
+Outcome ResponseParser::outcome() const {
+  const auto& response = parser_->get();
+  const unsigned status = response.result_int();
+  if (status == 200) return Outcome::kSuccess;
+  if ((status == 503 || status == 504) && response["Not-Started"] == "1") return Outcome::kRejected;
+  return status >= 500 ? Outcome::kServerError : Outcome::kUnknown;
+}
+
+}  // namespace asterdrift::node::upstream
--- /dev/null
+++ b/node/upstream/response_parser.h
@@ -0,0 +1,55 @@
+// A server's response as it arrives. No I/O.
+#pragma once
+
+#include <boost/beast/http.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "asterdrift/balancer/events.h"
+#include "node/base/http_body.h"
+
+namespace asterdrift::node::upstream {
+
+// Skips interim responses (1xx). A response whose head is too long, or whose length is ambiguous or too
+// large, is invalid: it may be an answer to a request that has run, and its connection is of no further use.
+class ResponseParser {
+ public:
+  enum class Result { kIncomplete, kComplete, kInvalid };
+
+  ResponseParser();
+
+  // on_body is called when the head of the final response, or a part of its body, has been parsed.
+  Result parse(std::string_view bytes, const std::function<void()>& on_body);
+
+  // Whether the response is complete now that the connection has been closed in good order, which ends a
+  // response with neither a length nor chunks.
+  bool finish_at_close();
+
+  // Of the final response, once its head is there.
+  unsigned status() const { return parser_->get().result_int(); }
+  std::string content_type() const;
+  std::optional<std::uint64_t> content_length() const;
+  balancer::Outcome outcome() const;
+  // The part of the body that has been parsed; the caller may take it away.
+  std::string& body() { return parser_->get().body(); }
+  bool is_done() const { return parser_->is_done(); }
+  // After a complete response: whether the connection may carry another request.
+  bool keeps_connection() const { return parser_->get().keep_alive() && unparsed_.empty(); }
+
+ private:
+  void begin_message();
+  bool is_interim() const;
+  bool has_sound_head() const;
+  Result parse_unparsed(const std::function<void()>& on_body);
+
+  std::string unparsed_;
+  std::optional<boost::beast::http::response_parser<base::IncrementalBody>> parser_;
+  std::size_t head_bytes_ = 0;
+  int interim_responses_ = 0;
+};
+
+}  // namespace asterdrift::node::upstream
--- a/scale/guard_test.cpp
+++ b/scale/guard_test.cpp
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "node/ask_budget.h"
-#include "node/ask_limits.h"
+#include "node/discovery/poll_budget.h"
+#include "node/discovery/poll_timeouts.h"
 #include "scale/allocations.h"
 #include "scale/hollow_node.h"
 #include "scale/process.h"
@@ -32,7 +32,7 @@
   NodeSetup setup;
   setup.copies = copies;
   setup.tier = tier;
-  return asterdrift::node::read_config(config_text(setup)).settings;
+  return asterdrift::node::config::read_config(config_text(setup)).settings;
 }
 
 // One discovery and hollow nodes before it, all on one thread. Waits are for events; the limit only ends what
@@ -191,9 +191,9 @@
       most = std::max(most, wait);
     }
   }
-  EXPECT_LE(most, asterdrift::node::ask_limits::kWait);
-  EXPECT_GE(least, asterdrift::node::ask_limits::kWait / 2);
-  EXPECT_GE(most - least, asterdrift::node::ask_limits::kWait / 3);
+  EXPECT_LE(most, asterdrift::node::discovery::poll_timeouts::kWait);
+  EXPECT_GE(least, asterdrift::node::discovery::poll_timeouts::kWait / 2);
+  EXPECT_GE(most - least, asterdrift::node::discovery::poll_timeouts::kWait / 3);
 }
 
 // A list that can't be taken is asked for again after a wait that grows, asked for or pushed. A wait can only
@@ -217,7 +217,7 @@
   const std::vector<double>& asked = discovery.asked_at();
   ASSERT_GE(asked.size(), 5U);
   for (std::size_t i = 0; i + 1 < 5; ++i) {
-    const double wait = asterdrift::node::AskBudget::kFirstWait * static_cast<double>(1U << i);
+    const double wait = asterdrift::node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
     EXPECT_GE(asked[i + 1] - asked[i], wait / 2) << i;
   }
   EXPECT_FALSE(node.knows_servers());
@@ -229,7 +229,8 @@
 // The module with a list, its servers well or refusing connections.
 struct Module {
   explicit Module(std::size_t servers)
-      : list(update_of(asterdrift::node::read_list(whole_list(1, servers, kDialPort), kZones))),
+      : list(update_of(
+            asterdrift::node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones))),
         balancer(settings_for(servers), 1) {
     actions.reserve(64);
     balancer.handle(now, list, actions);
@@ -329,8 +330,9 @@
       settings.tenants = {qu::Tenant{allowance}};
       tiers.emplace_back(settings, seed + tier);
       std::vector<qu::Action> none;
-      tiers.back().handle(0, update_of(asterdrift::node::read_list(whole_list(1, 8, kDialPort), kZones)),
-                          none);
+      tiers.back().handle(
+          0, update_of(asterdrift::node::config::read_endpoint_list(whole_list(1, 8, kDialPort), kZones)),
+          none);
     }
   }
 
--- a/scale/hollow_node.cpp
+++ b/scale/hollow_node.cpp
@@ -7,20 +7,21 @@
 
 namespace qu = asterdrift::balancer;
 
-qu::EndpointUpdate update_of(const asterdrift::node::ServerList& list) {
+qu::EndpointUpdate update_of(const asterdrift::node::config::EndpointList& list) {
   qu::EndpointUpdate out;
-  out.form = list.whole ? qu::EndpointUpdate::Form::kSnapshot : qu::EndpointUpdate::Form::kIncremental;
-  for (const asterdrift::node::ListedServer& server : list.servers) out.endpoints.push_back(server.facts);
+  out.form = list.is_snapshot ? qu::EndpointUpdate::Form::kSnapshot : qu::EndpointUpdate::Form::kIncremental;
+  for (const asterdrift::node::config::ListedEndpoint& server : list.endpoints)
+    out.endpoints.push_back(server.endpoint);
   return out;
 }
 
 HollowNode::HollowNode(boost::asio::io_context& io, const std::string& config,
                        std::function<void(HollowNode&)> acted)
     : io_(io),
-      config_(asterdrift::node::read_config(config)),
+      config_(asterdrift::node::config::read_config(config)),
       balancer_(config_.settings, config_.seed),
       discovery_(io, config_,
-                 {[this](const asterdrift::node::ServerList& list) { take(list); },
+                 {[this](const asterdrift::node::config::EndpointList& list) { take(list); },
                   [this] {
                     counts_.failures += 1;
                     qu::EndpointUpdate failed;
@@ -34,16 +35,16 @@
   if (!config_.settings.requires_watch) discovery_.watch();
 }
 
-void HollowNode::take(const asterdrift::node::ServerList& list) {
-  (list.whole ? counts_.whole_lists : counts_.changes) += 1;
-  seq_ = list.seq;
+void HollowNode::take(const asterdrift::node::config::EndpointList& list) {
+  (list.is_snapshot ? counts_.whole_lists : counts_.changes) += 1;
+  seq_ = list.version;
   post(update_of(list));
   if (acted_) acted_(*this);
 }
 
 void HollowNode::post(const qu::Event& event) {
   std::vector<qu::Action> actions;
-  balancer_.handle(asterdrift::node::now(), event, actions);
+  balancer_.handle(asterdrift::node::base::now(), event, actions);
   for (const qu::Action& action : actions) {
     if (std::holds_alternative<qu::WatchEndpoints>(action)) {
       counts_.watches += 1;
@@ -51,7 +52,7 @@
     } else if (const auto* timer = std::get_if<qu::SetTimer>(&action)) {
       const auto wait = std::make_shared<boost::asio::steady_timer>(io_);
       wait->expires_after(std::chrono::nanoseconds(
-          static_cast<std::int64_t>(std::max(0.0, timer->at - asterdrift::node::now()) * 1e9)));
+          static_cast<std::int64_t>(std::max(0.0, timer->at - asterdrift::node::base::now()) * 1e9)));
       wait->async_wait([this, wait, token = timer->token](const boost::system::error_code& error) {
         if (!error) post(qu::TimerFired{token});
       });
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -11,8 +11,9 @@
 #include <vector>
 
 #include "asterdrift/balancer/balancer.h"
-#include "node/config.h"
-#include "node/discovery.h"
+#include "node/base/clock.h"
+#include "node/config/node_config.h"
+#include "node/discovery/discovery_client.h"
 
 namespace scale {
 
@@ -28,19 +29,19 @@
   void start();
   const Counts& counts() const { return counts_; }
   std::uint64_t seq() const { return seq_; }  // of the last list
-  bool knows_servers() const { return balancer_.endpoints(asterdrift::node::now()).listed > 0; }
+  bool knows_servers() const { return balancer_.endpoints(asterdrift::node::base::now()).listed > 0; }
 
   // One call, answered at once. Returns the server of its first attempt; empty where it was refused.
   std::string call();
 
  private:
   void post(const asterdrift::balancer::Event& event);
-  void take(const asterdrift::node::ServerList& list);
+  void take(const asterdrift::node::config::EndpointList& list);
 
   boost::asio::io_context& io_;
-  asterdrift::node::Config config_;
+  asterdrift::node::config::NodeConfig config_;
   asterdrift::balancer::Balancer balancer_;
-  asterdrift::node::Discovery discovery_;
+  asterdrift::node::discovery::DiscoveryClient discovery_;
   std::function<void(HollowNode&)> acted_;
   Counts counts_;
   std::uint64_t seq_ = 0, calls_ = 0;
@@ -48,6 +49,6 @@
 };
 
 // What the module is told of a list.
-asterdrift::balancer::EndpointUpdate update_of(const asterdrift::node::ServerList& list);
+asterdrift::balancer::EndpointUpdate update_of(const asterdrift::node::config::EndpointList& list);
 
 }  // namespace scale
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -58,11 +58,11 @@
   NodeSetup setup;
   setup.copies = static_cast<std::size_t>(options.number("copies", static_cast<double>(servers)));
   setup.tier = tier;
-  return asterdrift::node::read_config(config_text(setup)).settings;
+  return asterdrift::node::config::read_config(config_text(setup)).settings;
 }
 
 qu::EndpointUpdate full(std::size_t servers) {
-  return update_of(asterdrift::node::read_list(whole_list(1, servers, kDialPort), kZones));
+  return update_of(asterdrift::node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones));
 }
 
 std::string us(double s) { return figure(s * 1e6, 2); }
@@ -75,7 +75,7 @@
                  "read list", "list bytes"});
   for (const std::size_t servers : options.sizes("sizes", kSizes)) {
     const std::string text = whole_list(1, servers, kDialPort);
-    const auto first = update_of(asterdrift::node::read_list(text, kZones));
+    const auto first = update_of(asterdrift::node::config::read_endpoint_list(text, kZones));
     std::vector<qu::Action> actions;
     double now = 100;
     const auto starts = costs_of(5, [&](int) {
@@ -93,8 +93,10 @@
     });
     const auto again = costs_of(11, [&](int) { module.handle(now += 0.1, first, actions); });
     const std::string one = change_of(2, servers / 2, kDialPort, "leaving");
-    const auto read_one = costs_of(1001, [&](int) { asterdrift::node::read_list(one, kZones); });
-    const auto read_all = costs_of(11, [&](int) { asterdrift::node::read_list(text, kZones); });
+    const auto read_one =
+        costs_of(1001, [&](int) { asterdrift::node::config::read_endpoint_list(one, kZones); });
+    const auto read_all =
+        costs_of(11, [&](int) { asterdrift::node::config::read_endpoint_list(text, kZones); });
     report.row({std::to_string(servers), us(median(changes)), us(changes.back()), us(median(starts)),
                 us(median(again)), us(median(read_one)), us(median(read_all)), std::to_string(text.size())});
   }
@@ -261,7 +263,7 @@
     std::size_t read = 0, read_peak = 0;
     qu::EndpointUpdate first;
     {
-      const auto list = asterdrift::node::read_list(text, kZones);
+      const auto list = asterdrift::node::config::read_endpoint_list(text, kZones);
       read = allocations().live - before_read;
       read_peak = allocations().peak - before_read;
       first = update_of(list);
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -355,7 +355,7 @@
   w.known = "\"known\":" + known + ",";
   w.start();
   w.discovery.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));
-  w.node->log("the last list is kept");
+  w.node->log("keeping the last endpoint list");
   Wire caller = w.client();
   caller.send(request("close"));
   EXPECT_TRUE(has(caller.message(), "HTTP/1.1 503 "));
--- a/tests/list_reader_test.cpp
+++ b/tests/list_reader_test.cpp
@@ -1,6 +1,4 @@
 // Reading lists as they come, what asking for them may cost, and how long it may take: pure code of the node.
-#include "node/list_reader.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,14 +7,20 @@
 #include <vector>
 
 #include "harness.h"
-#include "node/ask_budget.h"
-#include "node/ask_limits.h"
+#include "node/config/endpoint_list_reader.h"
+#include "node/config/node_config.h"
+#include "node/discovery/poll_budget.h"
+#include "node/discovery/poll_timeouts.h"
 
 namespace asterdrift::node {
+
+using namespace config;
+using namespace discovery;
+
 namespace {
 
 using asterdrift::balancer::EndpointState;
-using Seen = ListReader::Seen;
+using Event = EndpointListReader::Event;
 
 const std::vector<std::string> kZones = {"a", "b"};
 
@@ -32,22 +36,22 @@
 }
 
 // The lists in a text that comes in pieces.
-std::vector<ServerList> read(std::string_view text, std::size_t piece, std::size_t most = 1000) {
-  ListReader reader(kZones, most);
-  std::vector<ServerList> out;
+std::vector<EndpointList> read(std::string_view text, std::size_t piece, std::size_t most = 1000) {
+  EndpointListReader reader(kZones, most);
+  std::vector<EndpointList> out;
   while (!text.empty()) {
     std::string_view rest = text.substr(0, piece);
     text.remove_prefix(rest.size());
     while (!rest.empty()) {
-      const auto [seen, used] = reader.take(rest);
-      if (seen == Seen::kList) out.push_back(reader.list());
+      const auto [event, used] = reader.feed(rest);
+      if (event == Event::kList) out.push_back(reader.take_list());
       rest.remove_prefix(used);
     }
   }
   return out;
 }
 
-TEST(ListReader, TakesFieldsInAnyOrderAndListsCutAnywhere) {
+TEST(EndpointListReader, TakesFieldsInAnyOrderAndListsCutAnywhere) {
   const std::string unknown = R"("more":{"hosts":[{"host":"}]\\"},7],"seq":"]"},)";
   const std::string odd = R"({"note":[{"a":"]}"}],"health":"leaving","dial":"10.0.0.2:1","host":"s}]\""})";
   const std::string seq = R"("seq":18446744073709551615)",
@@ -62,24 +66,24 @@
     for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{7}, text.size()}) {
       const auto lists = read(text, piece);
       ASSERT_EQ(lists.size(), 3U) << list;
-      for (const ServerList& l : lists) {
-        EXPECT_EQ(l.seq, 18446744073709551615U);
-        EXPECT_TRUE(l.whole);
-        ASSERT_EQ(l.servers.size(), 2U) << list;
-        EXPECT_EQ(l.servers[0].facts.address, "s}]\"");
-        EXPECT_EQ(l.servers[0].facts.state, EndpointState::kDraining);
-        EXPECT_EQ(l.servers[1].facts.address, "s1");
-        EXPECT_EQ(l.servers[1].facts.zone, 1);
+      for (const EndpointList& l : lists) {
+        EXPECT_EQ(l.version, 18446744073709551615U);
+        EXPECT_TRUE(l.is_snapshot);
+        ASSERT_EQ(l.endpoints.size(), 2U) << list;
+        EXPECT_EQ(l.endpoints[0].endpoint.address, "s}]\"");
+        EXPECT_EQ(l.endpoints[0].endpoint.state, EndpointState::kDraining);
+        EXPECT_EQ(l.endpoints[1].endpoint.address, "s1");
+        EXPECT_EQ(l.endpoints[1].endpoint.zone, 1);
       }
     }
-    EXPECT_EQ(read_list(list + "\n", kZones).servers.size(), 2U);
-    EXPECT_THROW(read_list(list + list, kZones), std::exception);
-    EXPECT_THROW(read_list(list.substr(0, list.size() - 1), kZones), std::exception);
+    EXPECT_EQ(read_endpoint_list(list + "\n", kZones).endpoints.size(), 2U);
+    EXPECT_THROW(read_endpoint_list(list + list, kZones), std::exception);
+    EXPECT_THROW(read_endpoint_list(list.substr(0, list.size() - 1), kZones), std::exception);
   }
 }
 
 // None of these is a list, wherever it is spoilt, nor is any beginning of a good one.
-TEST(ListReader, RefusesWhatIsNoList) {
+TEST(EndpointListReader, RefusesWhatIsNoList) {
   const std::string one = entry(1);
   const std::vector<std::string> spoilt = {
       std::string("seq"),
@@ -115,7 +119,7 @@
     for (const std::size_t piece : {std::size_t{1}, text.size()}) {
       EXPECT_THROW(read(text, piece), std::exception) << text;
     }
-    EXPECT_THROW(read_list(text, kZones), std::exception) << text;
+    EXPECT_THROW(read_endpoint_list(text, kZones), std::exception) << text;
   }
   const std::string good = R"({"seq":8,"hosts":[)" + one + "]}";
   for (std::size_t cut = 0; cut < good.size(); ++cut) EXPECT_TRUE(read(good.substr(0, cut), 3).empty());
@@ -123,12 +127,12 @@
 }
 
 // However long a list is, it is read; the node's memory alone sets how many servers it may name.
-TEST(ListReader, RefusesOnlyWhatTheMemoryCannotHold) {
+TEST(EndpointListReader, RefusesOnlyWhatTheMemoryCannotHold) {
   const std::string long_list = R"({"hosts":[)" + entries(27000) + R"(],"whole":true,"seq":3})";
-  EXPECT_EQ(read(long_list, 4096, 27000).at(0).servers.size(), 27000U);
+  EXPECT_EQ(read(long_list, 4096, 27000).at(0).endpoints.size(), 27000U);
   EXPECT_THROW(read(long_list, 4096, 26999), std::exception);
-  EXPECT_GE(most_servers(32), 27000U);
-  EXPECT_LT(most_servers(16), 27000U);
+  EXPECT_GE(most_endpoints(32), 27000U);
+  EXPECT_LT(most_endpoints(16), 27000U);
   const std::string spaces(1000000, ' ');
   EXPECT_EQ(read("{" + spaces + R"("seq":3,"hosts":[)" + spaces + entry(1) + spaces + "]}", 4096).size(), 1U);
   const std::string much(1000000, 'x');  // text that is no entry, or one endless entry, is held whole
@@ -146,15 +150,15 @@
 
 TEST(Configuration, HasItsKnownListReadByEntries) {
   const auto known = [](const std::string& value) {
-    return read_config(configuration("\"known\" : " + value + ",")).known;
+    return read_config(configuration("\"known\" : " + value + ",")).known_endpoints;
   };
   const std::string list = R"({"hosts":[)" + entries(20) + R"(],"known":{"seq":1},"seq":41})";
   ASSERT_TRUE(known(list));
-  EXPECT_EQ(known(list)->seq, 41U);
-  EXPECT_EQ(known(list)->servers.size(), 20U);
-  EXPECT_EQ(known(list)->servers[7].facts.zone, 1);
+  EXPECT_EQ(known(list)->version, 41U);
+  EXPECT_EQ(known(list)->endpoints.size(), 20U);
+  EXPECT_EQ(known(list)->endpoints[7].endpoint.zone, 1);
   EXPECT_FALSE(known("null"));
-  EXPECT_FALSE(read_config(configuration(R"("other":{"known":{"seq":1}},)")).known);
+  EXPECT_FALSE(read_config(configuration(R"("other":{"known":{"seq":1}},)")).known_endpoints);
   for (const std::string bad : {"7", "[]", "{}", R"({"seq":1,"hosts":[{}]})", R"({"seq":1,"hosts":[],})"}) {
     EXPECT_THROW(known(bad), std::exception) << bad;
   }
@@ -162,58 +166,59 @@
 
 // The worst that discovery can do, for a day: each call brings a whole list that is of no use.
 // What a node gets in a day on which every call brings so many bytes for nothing, and its longest wait.
-std::pair<double, double> useless_day(std::size_t bytes, AskBudget::Reason why) {
+std::pair<double, double> useless_day(std::size_t bytes, PollBudget::Waste why) {
   constexpr double kDay = 86400;
-  AskBudget budget;
+  PollBudget budget;
   double got = 0, longest = 0, now = 1e6;
-  for (const double end = now + kDay; now < end; now += budget.wait(now) + ask_limits::kWait / 2) {
+  for (const double end = now + kDay; now < end; now += budget.wait(now) + poll_timeouts::kWait / 2) {
     got += static_cast<double>(bytes);
-    budget.lost(now, bytes, 1, why);
-    if (why == AskBudget::Reason::kSpoilt) budget.not_taken(now, 1);
+    budget.record_waste(now, bytes, 1, why);
+    if (why == PollBudget::Waste::kInvalid) budget.record_invalid_list(now, 1);
     longest = std::max(longest, budget.wait(now));
   }
   return {got / kDay, longest};
 }
 
-TEST(AskBudget, HoldsInTheLongRunForWhatCanNotBeTaken) {
+TEST(PollBudget, HoldsInTheLongRunForWhatCanNotBeTaken) {
   for (const std::size_t bytes : {std::size_t{300}, std::size_t{30000}, std::size_t{4000000}}) {
-    const auto [rate, longest] = useless_day(bytes, AskBudget::Reason::kSpoilt);
-    EXPECT_LE(rate, 29000 + (AskBudget::kBurst + static_cast<double>(bytes)) / 86400) << bytes;
+    const auto [rate, longest] = useless_day(bytes, PollBudget::Waste::kInvalid);
+    EXPECT_LE(rate, 29000 + (PollBudget::kBurst + static_cast<double>(bytes)) / 86400) << bytes;
   }
-  AskBudget start;
-  start.lost(100, 4'300'000, 1, AskBudget::Reason::kSpoilt);
+  PollBudget start;
+  start.record_waste(100, 4'300'000, 1, PollBudget::Waste::kInvalid);
   EXPECT_EQ(start.wait(100), 0) << "one more whole list may be asked for at once";
 }
 
 // Discovery that tells sound lists may tell a drain in the next one: however many bytes calls have cost that
 // were cut, or were told a whole list again, a wait and a call that hangs fit into the 6 s.
-TEST(AskBudget, NeverCostsTheTimeInWhichAChangeIsHeard) {
-  for (const AskBudget::Reason why : {AskBudget::Reason::kCut, AskBudget::Reason::kRepeated}) {
+TEST(PollBudget, NeverCostsTheTimeInWhichAChangeIsHeard) {
+  for (const PollBudget::Waste why : {PollBudget::Waste::kTruncated, PollBudget::Waste::kRepeated}) {
     for (const std::size_t bytes : {std::size_t{300}, std::size_t{30000}, std::size_t{4000000}}) {
       const auto [rate, longest] = useless_day(bytes, why);
-      EXPECT_LE(longest + ask_limits::kSilence, ask_limits::kToldAfter) << bytes;
-      EXPECT_LE(rate, std::max(29000.0, static_cast<double>(bytes) / AskBudget::kMostWait) + 200) << bytes;
+      EXPECT_LE(longest + poll_timeouts::kSilence, poll_timeouts::kNotifiedAfter) << bytes;
+      EXPECT_LE(rate, std::max(29000.0, static_cast<double>(bytes) / PollBudget::kMostBackoff) + 200)
+          << bytes;
     }
   }
 }
 
-TEST(AskBudget, LetsWhatCanNotBeTakenWaitLongerEachTimeAndCallsThatBringNothingNever) {
-  AskBudget budget, jittered;
+TEST(PollBudget, LetsWhatCanNotBeTakenWaitLongerEachTimeAndCallsThatBringNothingNever) {
+  PollBudget budget, jittered;
   double last = 0;
   for (int i = 0; i < 4; ++i) {
-    budget.not_taken(100 * i, 1);
-    jittered.not_taken(100 * i, 0);
+    budget.record_invalid_list(100 * i, 1);
+    jittered.record_invalid_list(100 * i, 0);
     EXPECT_GT(budget.wait(100 * i), last);
     EXPECT_EQ(jittered.wait(100 * i), budget.wait(100 * i) / 2);
     last = budget.wait(100 * i);
   }
-  for (int i = 4; i < 40; ++i) budget.not_taken(100 * i, 1);
-  EXPECT_LE(budget.wait(3900) + ask_limits::kSilence, ask_limits::kToldAfter);
-  budget.taken();
-  budget.not_taken(5000, 1);
-  EXPECT_EQ(budget.wait(5000), AskBudget::kFirstWait);
-  AskBudget refused;
-  for (int i = 0; i < 100000; ++i) refused.lost(i * 0.05, 0, 1, AskBudget::Reason::kCut);
+  for (int i = 4; i < 40; ++i) budget.record_invalid_list(100 * i, 1);
+  EXPECT_LE(budget.wait(3900) + poll_timeouts::kSilence, poll_timeouts::kNotifiedAfter);
+  budget.record_valid_list();
+  budget.record_invalid_list(5000, 1);
+  EXPECT_EQ(budget.wait(5000), PollBudget::kFirstBackoff);
+  PollBudget refused;
+  for (int i = 0; i < 100000; ++i) refused.record_waste(i * 0.05, 0, 1, PollBudget::Waste::kTruncated);
   EXPECT_EQ(refused.wait(5000), 0);
 }
 
@@ -241,9 +246,9 @@
 }
 
 // Whatever hangs at a moment from which discovery could be reached, one more call that hangs, and both waits
-// are over before a change counts as told. See the table in node/ask_limits.h.
+// are over before a change counts as told. See the table in node/poll_timeouts.h.
 TEST(AskLimits, AChangeIsHeardBeforeItCountsAsTold) {
-  using namespace ask_limits;
+  using namespace poll_timeouts;
   for (const bool pushed : {false, true}) {
     const double waits = pushed ? wait(true) : std::max(wait(false), longest_wait(10));
     std::vector<double> calls = {0};  // how long each kind of call can take: refused, 503 or cut at once
@@ -251,19 +256,19 @@
       calls.push_back(connected);
       calls.push_back(answered_by(pushed, 0, connected));
     }
-    calls.push_back(first_news_by(0, 0.5));  // an answer soon, then silence or half a list
+    calls.push_back(first_line_by(0, 0.5));  // an answer soon, then silence or half a list
     calls.push_back(connected_by(pushed, 0));
     calls.push_back(kSilence);
     for (const double hangs : calls) {
       for (const double again : calls) {
-        EXPECT_LE(hangs + waits + again + waits, kToldAfter) << hangs << ", then " << again;
+        EXPECT_LE(hangs + waits + again + waits, kNotifiedAfter) << hangs << ", then " << again;
       }
-      EXPECT_LE(hangs + waits, kToldAfterMove - 0.5) << "after a move";
+      EXPECT_LE(hangs + waits, kNotifiedAfterMove - 0.5) << "after a move";
     }
-    EXPECT_GE((kToldAfter - kSilence) / waits, 5) << "calls refused at once, after a silence";
+    EXPECT_GE((kNotifiedAfter - kSilence) / waits, 5) << "calls refused at once, after a silence";
   }
   EXPECT_GE(answered_by(false, 0, 0.1), 2.1) << "calls wait 2 s in discovery's queue";
-  EXPECT_GE(first_news_by(0, 2) - 2, 2) << "and then for an empty line";
+  EXPECT_GE(first_line_by(0, 2) - 2, 2) << "and then for an empty line";
 }
 
 }  // namespace
--- a/tests/node_harness.h
+++ b/tests/node_harness.h
@@ -260,7 +260,7 @@
     return text_;
   }
   int port() { return port_after("listening on 127.0.0.1:"); }
-  int operators_port() { return port_after("operators at 127.0.0.1:"); }
+  int operators_port() { return port_after("admin server on 127.0.0.1:"); }
   void signal(int which) const { kill(child_, which); }
   // Holds it still, so that what comes meanwhile is there all at once when it goes on.
   void stop() const {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -521,7 +521,7 @@
   w.serve(host("s0", w.servers[0].port()));
   w.discovery.close();
   w.watch.close();
-  w.node->log("the last list is kept");
+  w.node->log("keeping the last endpoint list");
   const Peer second, third;
   w.node->reload(moved(w, second));
   Wire watch = second.accept();
@@ -547,11 +547,12 @@
   const Peer elsewhere;
   const std::string good = moved(w, elsewhere);
   w.node->reload_without_file();
-  EXPECT_TRUE(has(w.node->log("stays as it was: can't read"), "stays as it was: can't read"));
+  EXPECT_TRUE(
+      has(w.node->log("configuration unchanged: cannot read"), "configuration unchanged: cannot read"));
   w.node->reload(good.substr(0, good.size() / 2));
-  EXPECT_TRUE(has(w.node->log("stays as it was: not valid"), "stays as it was: not valid"));
+  EXPECT_TRUE(has(w.node->log("configuration unchanged: not valid"), "configuration unchanged: not valid"));
   w.node->reload(R"({"discovery":"nowhere"})");
-  EXPECT_TRUE(has(w.node->log("stays as it was: field"), "stays as it was: field"));
+  EXPECT_TRUE(has(w.node->log("configuration unchanged: field"), "configuration unchanged: field"));
   EXPECT_TRUE(w.watch.quiet());
   EXPECT_TRUE(elsewhere.quiet());
   w.node->reload(good);
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -25,7 +25,7 @@
 TEST(Operators, HaveAnAddressOfTheirOwn) {
   World w;
   w.serve(w.both());
-  EXPECT_FALSE(has(w.node->log("\n"), "operators")) << "where none is told, none is opened";
+  EXPECT_FALSE(has(w.node->log("\n"), "admin server")) << "where none is told, none is opened";
   for (const char* path : {"/ready", "/metrics"}) {
     Wire caller = w.client();
     caller.send("GET " + std::string(path) + " HTTP/1.1\r\n\r\n");
--- a/tests/replacement_test.cpp
+++ b/tests/replacement_test.cpp
@@ -94,7 +94,7 @@
   at.tell(list(7, true, host("s0", at.servers[0].port())));
   until([&] { return at.ready(*next); });
   new_watch = std::move(at.watch);
-  EXPECT_TRUE(has(old->log("split"), "split between its processes: 2"));
+  EXPECT_TRUE(has(old->log("limits split"), "limits split between the node's processes: 2"));
   for (int i = 0; i < 30; ++i) {
     if (i == 15) old->signal(SIGTERM);
     EXPECT_TRUE(has(at.ask("b" + std::to_string(i)), " 200 "));
@@ -112,7 +112,7 @@
   }
   EXPECT_TRUE(idle.ended()) << "what is idle is closed in the end";
   EXPECT_EQ(old->exit_code(), 0);
-  EXPECT_TRUE(has(next->log("alone"), "alone again"));
+  EXPECT_TRUE(has(next->log("only process of this node again"), "only process of this node again"));
   EXPECT_TRUE(has(at.ask("c"), " 200 "));
 }
 
@@ -122,12 +122,12 @@
   const auto old = at.serving(old_watch);
   {
     const auto next = at.begin();
-    old->log("split");
+    old->log("limits split");
     EXPECT_TRUE(has(at.ask("a"), " 200 "));
     next->signal(SIGKILL);
     next->exit_code();
   }
-  EXPECT_TRUE(has(old->log("alone"), "alone again"));
+  EXPECT_TRUE(has(old->log("only process of this node again"), "only process of this node again"));
   EXPECT_TRUE(has(at.ask("b"), " 200 "));
   Program broken("{", 1024, at.environment());
   EXPECT_EQ(broken.exit_code(), 2);
@@ -162,8 +162,8 @@
       return has(caller.message(), "app.members_unavailable:1|g");
     });
     program->reload_without_file();
-    program->log("the configuration stays as it was");
-    EXPECT_TRUE(has(program->log("\n"), "the configuration stays as it was"));
+    program->log("configuration unchanged");
+    EXPECT_TRUE(has(program->log("\n"), "configuration unchanged"));
   }
   Wire caller = Wire::to(at.port);
   caller.send(request("close"));
--- a/tests/terms_test.cpp
+++ b/tests/terms_test.cpp
@@ -155,7 +155,7 @@
   w.fill_servers();
   w.discovery.refuse();
   w.watch.reset();
-  w.node->log("the last list is kept");
+  w.node->log("keeping the last endpoint list");
   w.fill_callers(kind);
   Peer elsewhere, fresh;
   moves ? w.node->reload(moved(w, elsewhere)) : w.discovery.resume();
@@ -264,7 +264,7 @@
         next.push_back(nodes[i]->begin());
       } else {
         next.push_back(nodes[i]->begin());
-        EXPECT_TRUE(has(next.back()->log("waits for its addresses"), "waits for its addresses"));
+        EXPECT_TRUE(has(next.back()->log("waiting for addresses in use"), "waiting for addresses in use"));
         old.signal(SIGKILL);
       }
     }
@@ -286,7 +286,7 @@
     at.known.clear();
     at.discovery.refuse();
     const auto node = at.begin();
-    node->log("the last list is kept");
+    node->log("keeping the last endpoint list");
     EXPECT_FALSE(ready(*node));
     at.discovery.resume();
     const double from = seconds();
