--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -19,9 +19,9 @@
 using base::now;
 using boost::system::error_code;
 
-constexpr std::size_t kMostHeadBytes = 8 * 1024;
-constexpr std::size_t kMostDiscardedBytes = 64 * 1024;  // after the response
-constexpr std::size_t kReadSize = 4096;                 // bytes
+constexpr std::size_t kMostHeadBytes = 8UL * 1024;
+constexpr std::size_t kMostDiscardedBytes = 64UL * 1024;  // after the response
+constexpr std::size_t kReadSize = 4096;                   // bytes
 constexpr double kCallTimeout = 2.2;  // s for a call, and as long again to take its response
 constexpr double kCloseTimeout = 1;   // s for a peer to close after its response
 
--- a/node/base/body_stream.cpp
+++ b/node/base/body_stream.cpp
@@ -6,8 +6,8 @@
 namespace asterdrift::node::base {
 namespace {
 
-constexpr std::size_t kCapacity = 64 * 1024;       // bytes
-constexpr std::size_t kLeastCapacity = 16 * 1024;  // bytes, where the budget is spent
+constexpr std::size_t kCapacity = 64UL * 1024;       // bytes
+constexpr std::size_t kLeastCapacity = 16UL * 1024;  // bytes, where the budget is spent
 
 }  // namespace
 
--- a/node/base/http_body.h
+++ b/node/base/http_body.h
@@ -20,7 +20,7 @@
 struct IncrementalBody {
   using value_type = std::string;
 
-  class reader {
+  class reader {  // NOLINT(readability-identifier-naming): Beast requires this name.
    public:
     template <bool kRequest, class Fields>
     reader(boost::beast::http::header<kRequest, Fields>&, std::string& bytes) : bytes_(bytes) {}
--- /dev/null
+++ b/node/base/socket_probe.cpp
@@ -0,0 +1,32 @@
+#include "node/base/socket_probe.h"
+
+#include <poll.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+
+namespace asterdrift::node::base {
+namespace {
+
+// As recv(): the number of bytes seen, 0 or 1, or -1 with errno.
+ssize_t peek(int socket) {
+  char byte = 0;
+  return ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+}
+
+bool is_empty(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
+
+}  // namespace
+
+bool has_unread_bytes(int socket) { return peek(socket) > 0; }
+
+bool has_peer_left(int socket) {
+  const ssize_t size = peek(socket);
+  if (size <= 0) return size == 0 || (!is_empty(errno) && errno != EINTR);
+  pollfd hang_up{socket, POLLRDHUP, 0};
+  return ::poll(&hang_up, 1, 0) > 0;
+}
+
+bool is_quiet(int socket) { return peek(socket) < 0 && is_empty(errno); }
+
+}  // namespace asterdrift::node::base
--- /dev/null
+++ b/node/base/socket_probe.h
@@ -0,0 +1,16 @@
+// What can be seen of a socket without reading from it.
+#pragma once
+
+namespace asterdrift::node::base {
+
+// Whether bytes have arrived that are not read yet.
+bool has_unread_bytes(int socket);
+
+// Whether the peer has ended its side of the connection, be it behind bytes that are not read yet, or the
+// connection has broken.
+bool has_peer_left(int socket);
+
+// Whether the connection is open and nothing has arrived.
+bool is_quiet(int socket);
+
+}  // namespace asterdrift::node::base
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Bytes of text that are buffered: of one entry, or of all fields that are no entries.
-constexpr std::size_t kMostText = 256 * 1024;
+constexpr std::size_t kMostText = 256UL * 1024;
 constexpr std::size_t kEntryParserMemory = 4096;  // bytes on the stack; the usual entry needs no more
 
 // How many brackets are open in the list itself, between the entries, and in one.
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -14,7 +14,7 @@
 using Kind = WatchError::Kind;
 
 // Bytes of a long list which show that the watch is alive.
-constexpr std::size_t kProgressBytes = 64 * 1024;
+constexpr std::size_t kProgressBytes = 64UL * 1024;
 constexpr int kHttp11 = 11;
 constexpr unsigned kOk = 200;
 
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -4,12 +4,10 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
 #include <memory>
-#include <optional>
 #include <string>
 
-#include "node/downstream/receive_pace.h"
 #include "node/downstream/request_error.h"
-#include "node/downstream/request_parser.h"
+#include "node/downstream/request_reader.h"
 #include "node/downstream/response_writer.h"
 #include "node/downstream/server_state.h"
 
@@ -41,10 +39,8 @@
   double state_since() const { return state_since_; }  // on the steady clock
 
  private:
-  enum class State { kNew, kFresh, kIdle, kReading, kUploading, kWaiting, kWriting, kClosing, kClosed };
+  using State = ConnectionState;
 
-  static bool is_busy(State state);
-  ConnectionList* list_of(State state);
   void enter(State state);
   template <class Step>
   void guarded(const Step& step);
@@ -56,22 +52,17 @@
   void buffer_pipelined(std::size_t size);
   void begin_request();
   void parse();
-  bool parse_buffered();
-  void handle_head();
-  bool handle_body();
-  bool begin_upload();
+  bool parse_next();
   void finish_upload();
   void resume_upload();
-  void send_continue();
+  RequestReader::Callbacks reader_callbacks();
 
   // Handling.
   void handle_request();
   void respond_to_health_check();
   bool dispatch(State next);
-  void set_forwarded_body(upstream::UpstreamRequest& forwarded);
   void handle_response(dispatch::Response&& response);
   void reject(const RequestError& error);
-  void release_request();
   void count_response(unsigned status);
 
   // Writing.
@@ -99,19 +90,13 @@
   bool pipeline_overflow_ = false;  // more have come than can be buffered
   std::size_t discarded_bytes_ = 0;
 
-  // Of the request that is being read.
-  std::optional<RequestParser> parser_;
-  std::optional<dispatch::DownstreamRequest> request_;  // of one to /api, until it is dispatched
-  base::MemoryReservation body_reservation_;
-  std::shared_ptr<base::BodyStream> upload_;  // the rest of its body
-  ReceivePace pace_;
+  RequestReader reader_;  // of the request that is being read
 
   // Of the request that is being handled.
   std::uint64_t request_number_ = 0;  // the dispatcher's
   bool is_dispatched_ = false;        // the dispatcher has it, or its response is being written
   bool is_dispatching_ = false;       // its client's end has just been looked for
-  std::optional<std::size_t> class_;  // of a valid request without a complete response
-  bool keeps_connection_ = false, client_reads_chunks_ = false, is_head_request_ = false;
+  bool is_head_request_ = false;
 
   // Of the response that is being written.
   ResponseWriter writer_;
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -24,7 +24,7 @@
     kBody        // a part of the body
   };
 
-  static constexpr std::size_t kMostHeadBytes = 8 * 1024;  // of a request's head and of a chunk's
+  static constexpr std::size_t kMostHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
 
   RequestParser();
 
--- /dev/null
+++ b/node/downstream/request_reader.cpp
@@ -0,0 +1,125 @@
+#include "node/downstream/request_reader.h"
+
+#include <algorithm>
+#include <boost/beast/core/string.hpp>
+#include <utility>
+
+#include "node/base/clock.h"
+
+namespace asterdrift::node::downstream {
+namespace {
+
+namespace http = boost::beast::http;
+
+// Responses need memory too, so requests leave half of the budget to them.
+std::size_t headroom(const base::MemoryBudget& budget) { return budget.size() / 2; }
+
+}  // namespace
+
+void RequestReader::begin(double now) { pace_.begin(now); }
+
+RequestReader::Result RequestReader::read(std::string& input) {
+  if (!parser_) parser_.emplace();
+  std::string_view bytes = input;
+  bool begins_upload = false;
+  while (!bytes.empty() && !parser_->is_done() && !begins_upload) {
+    const RequestParser::Event event = parser_->parse(bytes);
+    if (event == RequestParser::Event::kHead) handle_head();
+    if (event == RequestParser::Event::kBody) begins_upload = handle_body();
+    if (event == RequestParser::Event::kNeedsMore) break;
+  }
+  input.erase(0, input.size() - bytes.size());
+  if (begins_upload) return Result::kUpload;
+  if (parser_->is_done()) return Result::kComplete;
+  if (input.size() > RequestParser::kMostHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
+  if (!upload_ || !upload_->is_full()) return Result::kNeedsMore;
+  pace_.pause(base::now());
+  return Result::kPaused;
+}
+
+void RequestReader::handle_head() {
+  const RequestParser::Head& head = parser_->head();
+  pace_.on_head(base::now());
+  client_reads_chunks_ = parser_->client_reads_chunks();
+  keeps_connection_ = parser_->keeps_connection();
+  body_reservation_ = base::MemoryReservation(server_.body_budget);
+  RequestValidator::check_framing(head);
+  if (RequestValidator::path_of(head) == "/api") {
+    request_.emplace(server_.validator.read(head));
+    request_class_ = request_->facts.request_class;
+    server_.check_not_in_flight(request_->client_id);
+  }
+  const std::uint64_t length =
+      std::min<std::uint64_t>(parser_->content_length().value_or(0), base::kMostBufferedBody);
+  if (!body_reservation_.grow_to(length, headroom(server_.body_budget))) {
+    throw RequestError(kServiceUnavailable, "no memory to spare");
+  }
+  if (boost::beast::iequals(head[http::field::expect], "100-continue")) callbacks_.send_continue();
+}
+
+// Bytes of a body. Whether an upload begins.
+bool RequestReader::handle_body() {
+  std::string& body = parser_->body();
+  if (upload_ || !request_) {  // a request that is not to /api gets a 404 in the end
+    pace_.add_body_bytes(body.size());
+    if (upload_) upload_->write(body);
+    body.clear();
+    return false;
+  }
+  pace_.set_body_bytes(body.size());
+  const std::size_t buffered = std::min(body.size(), base::kMostBufferedBody);
+  if (!body_reservation_.grow_to(buffered, headroom(server_.body_budget))) {
+    throw RequestError(kServiceUnavailable);
+  }
+  if (body.size() < base::kMostBufferedBody || parser_->is_done()) return false;
+  begin_upload();
+  return true;
+}
+
+void RequestReader::begin_upload() {
+  upload_ = std::make_shared<base::BodyStream>(server_.io, server_.body_budget);
+  upload_->on_writable(callbacks_.on_upload_resumed);
+}
+
+dispatch::DownstreamRequest RequestReader::take_api_request() {
+  set_forwarded_body(*request_->forwarded);
+  dispatch::DownstreamRequest request = std::move(*request_);
+  request_.reset();
+  return request;
+}
+
+void RequestReader::set_forwarded_body(upstream::UpstreamRequest& forwarded) {
+  std::string& body = parser_->body();
+  const auto length = parser_->content_length();
+  if (upload_ && !length) {
+    forwarded.head += "Transfer-Encoding: chunked\r\n";
+    forwarded.is_chunked = true;
+  } else if (parser_->method() == http::verb::post) {
+    forwarded.head += "Content-Length: " + std::to_string(upload_ ? *length : body.size()) + "\r\n";
+  }
+  forwarded.body = std::move(body);
+  body.clear();
+  forwarded.body_reservation = std::exchange(body_reservation_, {});
+  forwarded.body_rest = upload_;
+}
+
+void RequestReader::finish_upload() {
+  upload_->finish(true);
+  upload_.reset();
+  parser_.reset();
+}
+
+void RequestReader::release() {
+  if (upload_) upload_->finish(false);
+  upload_.reset();
+  parser_.reset();
+  request_.reset();
+  body_reservation_ = {};
+}
+
+bool RequestReader::is_behind(double now) const {
+  const bool waits_for_server = !pace_.is_in_head() && upload_ && upload_->is_full();
+  return !waits_for_server && pace_.is_behind(now);
+}
+
+}  // namespace asterdrift::node::downstream
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -7,9 +7,12 @@
 #include <functional>
 #include <list>
 #include <memory>
+#include <string>
+#include <utility>
 
 #include "node/base/memory_budget.h"
 #include "node/dispatch/request_dispatcher.h"
+#include "node/downstream/request_error.h"
 #include "node/downstream/request_validator.h"
 #include "node/telemetry/metrics.h"
 
@@ -19,14 +22,27 @@
 
 using ConnectionList = std::list<std::shared_ptr<Connection>>;
 
-// Connections by what they do, each list in the order in which they began to.
+enum class ConnectionState {
+  kNew,
+  kFresh,      // has sent nothing yet
+  kIdle,       // has had a response and sent nothing since
+  kReading,    // a request is arriving
+  kUploading,  // the dispatcher has the request, and its body is still arriving
+  kWaiting,    // for the response
+  kWriting,    // the response is being written
+  kClosing,    // has had its last response
+  kClosed
+};
+
+// Whether a response is owed or being written.
+bool is_busy(ConnectionState state);
+
+// Connections by state, each list in the order in which they entered it.
 struct ConnectionLists {
-  ConnectionList fresh;      // have sent nothing yet
-  ConnectionList idle;       // have had a response and sent nothing since
-  ConnectionList reading;    // a request is arriving
-  ConnectionList uploading;  // the dispatcher has the request, and its body is still arriving
-  ConnectionList writing;    // the response is being written
-  ConnectionList closing;    // have their last response
+  // Null for a state without a list.
+  ConnectionList* of(ConnectionState state);
+
+  ConnectionList fresh, idle, reading, uploading, writing, closing;
 };
 
 struct ServerState {
@@ -46,6 +62,11 @@
   // Whether so many connections wait for responses that further requests are rejected.
   bool is_crowded() const { return busy_connections > max_connections - max_connections / 8; }
   bool has_too_many_connections() const { return connections > max_connections; }
+  // Throws RequestError where a request with this client's id is in flight: a second one might run twice, or
+  // its response might go to the wrong client.
+  void check_not_in_flight(const std::string& client_id) const {
+    if (dispatcher.is_in_flight(client_id)) throw RequestError(kConflict, "this Request-Id is open");
+  }
 
   boost::asio::io_context& io;
   dispatch::RequestDispatcher& dispatcher;
@@ -61,8 +82,8 @@
   std::size_t pending_requests = 0;  // without a complete response
   bool is_listening = false;
   bool is_draining = false;
-  bool closes_after_responses = false;           // responses end their connections
-  std::array<char, 16 * 1024> read_buffer = {};  // one for all: the process has one thread
+  bool closes_after_responses = false;             // responses end their connections
+  std::array<char, 16UL * 1024> read_buffer = {};  // one for all: the process has one thread
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/process/resource_limits.cpp
+++ b/node/process/resource_limits.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kOtherSockets = 40, kLeastOtherSockets = 20;
 constexpr std::size_t kLeastAdminConnections = 2;
 constexpr std::size_t kBodyPart = 3;  // of the memory, bodies may take up a third
-constexpr std::size_t kBytesPerMb = 1024 * 1024;
+constexpr std::size_t kBytesPerMb = 1024UL * 1024;
 
 }  // namespace
 
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -1,14 +1,12 @@
 #include "node/upstream/connection.h"
 
-#include <sys/socket.h>
-
 #include <algorithm>
-#include <cerrno>
 #include <cmath>
 #include <exception>
 #include <utility>
 
 #include "node/base/clock.h"
+#include "node/base/socket_probe.h"
 #include "node/telemetry/log.h"
 
 namespace asterdrift::node::upstream {
@@ -104,11 +102,7 @@
   wait_readable();
 }
 
-bool Connection::is_stale() {
-  char byte = 0;
-  const ssize_t size = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return size >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
-}
+bool Connection::is_stale() { return !base::is_quiet(socket_.native_handle()); }
 
 // Ends the attempt, if there is one, and with it the connection unless it may be reused.
 void Connection::end(Outcome outcome, bool may_reuse) {
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -40,8 +40,8 @@
   boost::asio::io_context& io;
   base::MemoryBudget& body_budget;
   telemetry::Metrics& metrics;
-  const double connect_timeout;                  // s
-  std::array<char, 16 * 1024> read_buffer = {};  // one for all: the process has one thread
+  const double connect_timeout;                    // s
+  std::array<char, 16UL * 1024> read_buffer = {};  // one for all: the process has one thread
 };
 
 class Connection : public std::enable_shared_from_this<Connection> {
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -79,7 +79,7 @@
 // too: only few servers drop a duplicate, and those seldom have capacity.
 std::shared_ptr<Connection> ConnectionPool::take_idle(PooledEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
-    const std::shared_ptr<Connection> last = endpoint.idle.back();
+    std::shared_ptr<Connection> last = endpoint.idle.back();
     if (now() < avoid_idle_until_ && now() - last->idle_since() >= kFreshIdleTime) return nullptr;
     endpoint.idle.pop_back();
     idle_.erase(last->idle_position);
@@ -114,7 +114,9 @@
   connection->set_idle();
 }
 
-void ConnectionPool::on_idle_ended(const std::shared_ptr<Connection>& connection) {
+void ConnectionPool::on_idle_ended(const std::shared_ptr<Connection>& connection) { remove_idle(connection); }
+
+void ConnectionPool::remove_idle(const std::shared_ptr<Connection>& connection) {
   idle_.erase(connection->idle_position);
   if (PooledEndpoint* known = find(connection->endpoint())) std::erase(known->idle, connection);
 }
@@ -123,7 +125,7 @@
 
 void ConnectionPool::close_oldest_idle() {
   const std::shared_ptr<Connection> oldest = idle_.front();
-  on_idle_ended(oldest);
+  remove_idle(oldest);
   oldest->close();
 }
 
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -65,6 +65,7 @@
   PooledEndpoint* find(const std::string& name);
   std::shared_ptr<Connection> take_idle(PooledEndpoint& endpoint);
   bool make_room();
+  void remove_idle(const std::shared_ptr<Connection>& connection);
   void close_oldest_idle();
   void close_idle(PooledEndpoint& endpoint);
   void close_expired();
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -11,7 +11,7 @@
 using balancer::Outcome;
 using boost::system::error_code;
 
-constexpr std::size_t kMostHeadBytes = 16 * 1024;  // of a response's head and of a chunk's
+constexpr std::size_t kMostHeadBytes = 16UL * 1024;  // of a response's head and of a chunk's
 constexpr int kMostInterimResponses = 8;
 
 }  // namespace
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -24,8 +24,10 @@
     if (warm >= 1) return true;
     const TrafficStatistics& traffic = state_.traffic;
     const double size = record.advertised.weight / state_.endpoints.ready_weight();
-    const double quota = state_.settings.tier == 0 && traffic.quota_rate > 0 ? traffic.quota_rate : kForever;
-    const double rate = std::min(traffic.admitted.at(state_.now), quota) * share_of_warm(record, warm) * size;
+    double admitted = traffic.admitted.at(state_.now);
+    if (state_.settings.tier == 0 && traffic.quota_rate > 0)
+      admitted = std::min(admitted, traffic.quota_rate);
+    const double rate = admitted * share_of_warm(record, warm) * size;
     const double response_share = std::min(1.0, warm * state_.settings.overload_multiple * kResponsePart);
     return refill(record.slow_start, rate, capacity_per_response() * response_share * size);
   }
