--- a/adapter/simulator_adapter.cpp
+++ b/adapter/simulator_adapter.cpp
@@ -18,11 +18,11 @@
 #include "rapidjson/stringbuffer.h"
 #include "rapidjson/writer.h"
 
+namespace asterdrift::adapter {
 namespace {
 
-using namespace asterdrift::json;
+using namespace json;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
-namespace balancer = asterdrift::balancer;
 
 balancer::Outcome read_outcome(std::string_view name) {
   if (name == "delivered") return balancer::Outcome::kSuccess;
@@ -36,7 +36,7 @@
   return balancer::Outcome::kUnknown;
 }
 
-balancer::Endpoint read_server(const Json& in) {
+balancer::Endpoint read_endpoint(const Json& in) {
   balancer::Endpoint out;
   out.address = string(in, "server");
   out.zone = integer_or(in, "rackZone", 0);
@@ -132,10 +132,11 @@
   }
 };
 
-class Host {
+// Hosts the replicas of all simulated processes.
+class ReplicaHost {
  public:
-  // Answers one batch; returns the reply line.
-  const rapidjson::StringBuffer& answer(const Json& batch) {
+  // Handles one batch of events; returns the reply line.
+  const rapidjson::StringBuffer& handle_batch(const Json& batch) {
     const double now = number(batch, "clock");
     buffer_.Clear();
     writer_.Reset(buffer_);
@@ -144,25 +145,25 @@
     writer_.Uint64(unsigned_integer(batch, "turn"));
     writer_.Key("nodes");
     writer_.StartArray();
-    for (const Json& node : array(batch, "nodes").GetArray()) answer_node(now, node);
+    for (const Json& node : array(batch, "nodes").GetArray()) handle_replica(now, node);
     writer_.EndArray();
     writer_.EndObject();
     return buffer_;
   }
 
  private:
-  void answer_node(double now, const Json& node) {
+  void handle_replica(double now, const Json& node) {
     const int who = integer(node, "who");
-    std::unique_ptr<balancer::Balancer>& balancer = balancers_[who];
+    std::unique_ptr<balancer::Balancer>& replica = replicas_[who];
     actions_.clear();
     std::optional<std::string> fault;
     for (const Json& item : array(node, "news").GetArray()) {
       try {
-        handle(now, item, balancer);
+        handle_item(now, item, replica);
       } catch (const FormatError&) {
         throw;
-      } catch (const std::exception& problem) {  // the library's own: the bench wants to hear of it
-        if (!fault) fault = problem.what();
+      } catch (const std::exception& error) {  // the balancer's own: the simulator reports it
+        if (!fault) fault = error.what();
       }
     }
     if (actions_.empty() && !fault) return;
@@ -184,30 +185,30 @@
     writer_.EndObject();
   }
 
-  void handle(double now, const Json& item, std::unique_ptr<balancer::Balancer>& balancer) {
+  void handle_item(double now, const Json& item, std::unique_ptr<balancer::Balancer>& replica) {
     const std::string_view kind = string(item, "kind");
     if (kind == "TABLE") {
       read_table(item);
       return;
     }
     if (kind == "OPEN_INSTANCE") {
-      balancer.reset();
-      balancer = std::make_unique<balancer::Balancer>(read_settings(require(item, "config")),
-                                                      unsigned_integer(item, "initSeed"));
-      actions_.clear();  // what an instance said before it was stopped in this batch is void
-      balancer->handle(now, balancer::Started{}, actions_);
+      replica.reset();
+      replica = std::make_unique<balancer::Balancer>(read_settings(require(item, "config")),
+                                                     unsigned_integer(item, "initSeed"));
+      actions_.clear();  // actions from before a stop in this batch are void
+      replica->handle(now, balancer::Started{}, actions_);
     } else if (kind == "POWER_OFF") {
-      balancer.reset();
+      replica.reset();
       actions_.clear();
     } else if (const std::optional<balancer::Event> event = read_event(kind, item);
-               event && balancer != nullptr) {
-      balancer->handle(now, *event, actions_);
+               event && replica != nullptr) {
+      replica->handle(now, *event, actions_);
     }
   }
 
   void read_table(const Json& item) {
     std::vector<balancer::Endpoint> servers;
-    for (const Json& entry : array(item, "nodesList").GetArray()) servers.push_back(read_server(entry));
+    for (const Json& entry : array(item, "nodesList").GetArray()) servers.push_back(read_endpoint(entry));
     tables_[integer(item, "sheet")] = std::move(servers);
   }
 
@@ -225,7 +226,7 @@
       return balancer::ResponseStarted{std::string(string(item, "txn")), integer_or(item, "try", 0),
                                        number_or(item, "lag", 0)};
     }
-    return std::nullopt;  // STATUS_BACK, MEMO and kinds of later wires: nothing here asks for them
+    return std::nullopt;  // STATUS_BACK, MEMO and unknown kinds: nothing here asks for them
   }
 
   balancer::EndpointUpdate read_update(const Json& item) const {
@@ -246,18 +247,18 @@
     return out;
   }
 
-  std::map<int, std::unique_ptr<balancer::Balancer>> balancers_;
-  std::map<int, std::vector<balancer::Endpoint>> tables_;  // the numbered lists, shared by the whole process
+  std::map<int, std::unique_ptr<balancer::Balancer>> replicas_;
+  std::map<int, std::vector<balancer::Endpoint>>
+      tables_;  // the numbered endpoint lists, shared by all replicas
   std::vector<balancer::Action> actions_;
   rapidjson::StringBuffer buffer_;
   Writer writer_;
 };
 
-}  // namespace
-
-int main() {
+// Reads batches from standard input up to its end; returns the exit code.
+int run() {
   std::ios::sync_with_stdio(false);
-  Host host;
+  ReplicaHost host;
   std::string line;
   std::uint64_t lines = 0;
   while (std::getline(std::cin, line)) {
@@ -273,15 +274,20 @@
                           std::to_string(batch.GetErrorOffset()));
       }
       turn = std::to_string(unsigned_integer(batch, "turn"));
-      const rapidjson::StringBuffer& reply = host.answer(batch);
+      const rapidjson::StringBuffer& reply = host.handle_batch(batch);
       std::fwrite(reply.GetString(), 1, reply.GetSize(), stdout);
       std::fputc('\n', stdout);
       if (std::fflush(stdout) != 0) return 1;
-    } catch (const std::exception& problem) {
+    } catch (const std::exception& error) {
       std::fprintf(stderr, "simulator-adapter: line %llu, turn %s: %s\n",
-                   static_cast<unsigned long long>(lines), turn.c_str(), problem.what());
+                   static_cast<unsigned long long>(lines), turn.c_str(), error.what());
       return 2;
     }
   }
   return 0;
 }
+
+}  // namespace
+}  // namespace asterdrift::adapter
+
+int main() { return asterdrift::adapter::run(); }
--- a/scale/allocations.cpp
+++ b/scale/allocations.cpp
@@ -6,7 +6,7 @@
 #include <cstdlib>
 #include <new>
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 Allocations count;
@@ -31,16 +31,16 @@
 Allocations allocations() { return count; }
 void reset_peak() { count.peak = count.live; }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
 
-void* operator new(std::size_t size) { return scale::take(size); }
-void* operator new[](std::size_t size) { return scale::take(size); }
+void* operator new(std::size_t size) { return asterdrift::scale::take(size); }
+void* operator new[](std::size_t size) { return asterdrift::scale::take(size); }
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept try {
-  return scale::take(size);
+  return asterdrift::scale::take(size);
 } catch (const std::bad_alloc&) {
   return nullptr;
 }
-void operator delete(void* memory) noexcept { scale::give(memory); }
-void operator delete[](void* memory) noexcept { scale::give(memory); }
-void operator delete(void* memory, std::size_t) noexcept { scale::give(memory); }
-void operator delete[](void* memory, std::size_t) noexcept { scale::give(memory); }
+void operator delete(void* memory) noexcept { asterdrift::scale::give(memory); }
+void operator delete[](void* memory) noexcept { asterdrift::scale::give(memory); }
+void operator delete(void* memory, std::size_t) noexcept { asterdrift::scale::give(memory); }
+void operator delete[](void* memory, std::size_t) noexcept { asterdrift::scale::give(memory); }
--- a/scale/allocations.h
+++ b/scale/allocations.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-namespace scale {
+namespace asterdrift::scale {
 
 struct Allocations {
   std::size_t calls = 0;  // of operator new so far
@@ -15,4 +15,4 @@
 Allocations allocations();
 void reset_peak();
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -10,7 +10,7 @@
 #include "scale/report.h"
 #include "scale/slopes.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 constexpr double kLimit = 30;  // s, for what should take far less
@@ -62,6 +62,7 @@
     trials.push_back(std::move(trial));
   }
   std::vector<StandInDiscovery::Counts> before;
+  before.reserve(trials.size());
   for (const auto& trial : trials) before.push_back(trial->discovery->counts());
   run_until(io, idle, [] { return false; });
   for (std::size_t i = 0; i < trials.size(); ++i) {
@@ -146,4 +147,4 @@
   report.print(options.text("json", ""));
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/guard_test.cpp
+++ b/scale/guard_test.cpp
@@ -1,4 +1,4 @@
-// Guards of size: counts that no clock and no busy machine can change. What depends on time is a slope.
+// Limits on size: counts that no clock and no busy machine can change. What depends on time is a slope.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,20 +19,17 @@
 #include "scale/process.h"
 #include "scale/stand_in_discovery.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
-
-namespace qu = asterdrift::balancer;
-
 constexpr int kDialPort = 10000;
 const std::vector<std::string> kZones = {"a", "b", "c"};
 constexpr std::array<std::size_t, 5> kSizes = {7, 70, 700, 7000, 27000};
 
-qu::Settings settings_for(std::size_t copies, int tier = 1) {
+balancer::Settings settings_for(std::size_t copies, int tier = 1) {
   NodeSetup setup;
   setup.copies = copies;
   setup.tier = tier;
-  return asterdrift::node::config::read_config(config_text(setup)).settings;
+  return node::config::read_config(config_text(setup)).settings;
 }
 
 // One discovery and hollow nodes before it, all on one thread. Waits are for events; the limit only ends what
@@ -176,24 +173,24 @@
 TEST(ScaleGuard, WaitsAfterFailedCallsStayShortAndJittered) {
   double least = 1000, most = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    qu::Settings settings = settings_for(8);
+    balancer::Settings settings = settings_for(8);
     settings.requires_watch = true;
     settings.poll_within = 6;
-    qu::Balancer module(settings, seed);
+    balancer::Balancer module(settings, seed);
     for (int i = 0; i < 8; ++i) {
-      std::vector<qu::Action> actions;
-      qu::EndpointUpdate failed;
-      failed.form = qu::EndpointUpdate::Form::kWatchFailed;
+      std::vector<balancer::Action> actions;
+      balancer::EndpointUpdate failed;
+      failed.form = balancer::EndpointUpdate::Form::kWatchFailed;
       module.handle(100, failed, actions);
       ASSERT_EQ(actions.size(), 1U);
-      const double wait = std::get<qu::SetTimer>(actions[0]).at - 100;
+      const double wait = std::get<balancer::SetTimer>(actions[0]).at - 100;
       least = std::min(least, wait);
       most = std::max(most, wait);
     }
   }
-  EXPECT_LE(most, asterdrift::node::discovery::poll_timeouts::kWait);
-  EXPECT_GE(least, asterdrift::node::discovery::poll_timeouts::kWait / 2);
-  EXPECT_GE(most - least, asterdrift::node::discovery::poll_timeouts::kWait / 3);
+  EXPECT_LE(most, node::discovery::poll_timeouts::kWait);
+  EXPECT_GE(least, node::discovery::poll_timeouts::kWait / 2);
+  EXPECT_GE(most - least, node::discovery::poll_timeouts::kWait / 3);
 }
 
 // A list that can't be taken is asked for again after a wait that grows, asked for or pushed. A wait can only
@@ -217,7 +214,7 @@
   const std::vector<double>& asked = discovery.asked_at();
   ASSERT_GE(asked.size(), 5U);
   for (std::size_t i = 0; i + 1 < 5; ++i) {
-    const double wait = asterdrift::node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
+    const double wait = node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
     EXPECT_GE(asked[i + 1] - asked[i], wait / 2) << i;
   }
   EXPECT_FALSE(node.knows_servers());
@@ -229,8 +226,7 @@
 // The module with a list, its servers well or refusing connections.
 struct Module {
   explicit Module(std::size_t servers)
-      : list(update_of(
-            asterdrift::node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones))),
+      : list(update_of(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones))),
         balancer(settings_for(servers), 1) {
     actions.reserve(64);
     balancer.handle(now, list, actions);
@@ -239,41 +235,42 @@
   // One call; what it has allocated.
   Allocations call() {
     now += 0.003;
-    qu::Request request;
+    balancer::Request request;
     request.id = std::to_string(++last);
     request.time_left = 5;
     Allocations out = handle(request);
     for (int attempt = 0; !actions.empty(); ++attempt) {
-      const auto* send = std::get_if<qu::SendAttempt>(&actions.back());
+      const auto* send = std::get_if<balancer::SendAttempt>(&actions.back());
       if (send == nullptr) break;
       ++sends;
       if (!learned) subset.insert(send->endpoint);
       const bool fails = learned && ill && subset.contains(send->endpoint);
-      const Allocations end = handle(qu::AttemptResult{
-          request.id, attempt, fails ? qu::Outcome::kConnectFailed : qu::Outcome::kSuccess, 0.002, !fails});
+      const Allocations end = handle(balancer::AttemptResult{
+          request.id, attempt, fails ? balancer::Outcome::kConnectFailed : balancer::Outcome::kSuccess, 0.002,
+          !fails});
       out.calls += end.calls;
       out.bytes += end.bytes;
     }
     return out;
   }
-  Allocations handle(const qu::Event& event) {
+  Allocations handle(const balancer::Event& event) {
     actions.clear();
     const Allocations before = allocations();
     balancer.handle(now, event, actions);
     const Allocations after = allocations();
     return {after.calls - before.calls, after.bytes - before.bytes, 0, 0};
   }
-  Allocations change(std::size_t place, qu::EndpointState state) {
-    qu::EndpointUpdate one;
-    one.form = qu::EndpointUpdate::Form::kIncremental;
+  Allocations change(std::size_t place, balancer::EndpointState state) {
+    balancer::EndpointUpdate one;
+    one.form = balancer::EndpointUpdate::Form::kIncremental;
     one.endpoints = {list.endpoints[place]};
     one.endpoints[0].state = state;
     return handle(one);
   }
 
-  qu::EndpointUpdate list;
-  qu::Balancer balancer;
-  std::vector<qu::Action> actions;
+  balancer::EndpointUpdate list;
+  balancer::Balancer balancer;
+  std::vector<balancer::Action> actions;
   std::set<std::string> subset;
   bool learned = false, ill = false;
   double now = 100;
@@ -311,8 +308,8 @@
     Allocations most;
     for (std::size_t i = 0; i < 40; ++i) {
       const std::size_t place = i / 2 * 7919 % servers;
-      most = more(
-          most, module.change(place, i % 2 == 0 ? qu::EndpointState::kDraining : qu::EndpointState::kReady));
+      most = more(most, module.change(place, i % 2 == 0 ? balancer::EndpointState::kDraining
+                                                        : balancer::EndpointState::kReady));
       EXPECT_TRUE(module.actions.empty()) << servers;
     }
     EXPECT_LE(most.calls, 40U) << servers;
@@ -326,13 +323,12 @@
   Chain(std::size_t depth, double chance, std::optional<double> allowance, std::uint64_t seed)
       : fails(chance), random(seed) {
     for (std::size_t tier = 0; tier < depth; ++tier) {
-      qu::Settings settings = settings_for(1, static_cast<int>(tier));
-      settings.tenants = {qu::Tenant{allowance}};
+      balancer::Settings settings = settings_for(1, static_cast<int>(tier));
+      settings.tenants = {balancer::Tenant{allowance}};
       tiers.emplace_back(settings, seed + tier);
-      std::vector<qu::Action> none;
-      tiers.back().handle(
-          0, update_of(asterdrift::node::config::read_endpoint_list(whole_list(1, 8, kDialPort), kZones)),
-          none);
+      std::vector<balancer::Action> none;
+      tiers.back().handle(0, update_of(node::config::read_endpoint_list(whole_list(1, 8, kDialPort), kZones)),
+                          none);
     }
   }
 
@@ -342,22 +338,22 @@
       now += 0.001;
       return unit() >= fails;
     }
-    qu::Request request;
+    balancer::Request request;
     request.id = std::to_string(++last_id);
     request.time_left = 5;
-    qu::Event event = request;
+    balancer::Event event = request;
     for (int attempt = 0;; ++attempt) {
-      std::vector<qu::Action> actions;
+      std::vector<balancer::Action> actions;
       tiers[tier].handle(now, event, actions);
-      const bool sent = std::any_of(actions.begin(), actions.end(), [](const qu::Action& action) {
-        return std::holds_alternative<qu::SendAttempt>(action);
+      const bool sent = std::any_of(actions.begin(), actions.end(), [](const balancer::Action& action) {
+        return std::holds_alternative<balancer::SendAttempt>(action);
       });
       if (!sent) return false;
       const double from = now;
       const bool served = call(tier + 1);
-      const qu::AttemptResult end{request.id, attempt,
-                                  served ? qu::Outcome::kSuccess : qu::Outcome::kServerError, now - from,
-                                  served};
+      const balancer::AttemptResult end{
+          request.id, attempt, served ? balancer::Outcome::kSuccess : balancer::Outcome::kServerError,
+          now - from, served};
       if (served) {
         actions.clear();
         tiers[tier].handle(now, end, actions);
@@ -371,13 +367,13 @@
     return static_cast<double>(random >> 11) * 0x1.0p-53;
   }
 
-  std::vector<qu::Balancer> tiers;
+  std::vector<balancer::Balancer> tiers;
   double fails, now = 100;
   std::uint64_t random, last_id = 0, last_attempts = 0;
 };
 
 // Attempts at the last tier for each call at the first. A tier's retries are a fifth of its answers: what
-// fails for good earns none, at any tier. Danger: earned by calls they were 15 for each call over 28 tiers.
+// fails for good earns none, at any tier. Earned by calls they were 15 for each call over 28 tiers.
 TEST(ScaleGuard, RetriesOverTheTiersStayBounded) {
   struct Case {
     std::optional<double> allowance;  // calls/s; as many come
@@ -406,4 +402,4 @@
 }
 
 }  // namespace
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -15,7 +15,7 @@
 #include "node/config/node_config.h"
 #include "node/discovery/discovery_client.h"
 
-namespace scale {
+namespace asterdrift::scale {
 
 class HollowNode {
  public:
@@ -29,19 +29,19 @@
   void start();
   const Counts& counts() const { return counts_; }
   std::uint64_t seq() const { return seq_; }  // of the last list
-  bool knows_servers() const { return balancer_.endpoints(asterdrift::node::base::now()).listed > 0; }
+  bool knows_servers() const { return balancer_.endpoints(node::base::now()).listed > 0; }
 
   // One call, answered at once. Returns the server of its first attempt; empty where it was refused.
   std::string call();
 
  private:
-  void post(const asterdrift::balancer::Event& event);
-  void take(const asterdrift::node::config::EndpointList& list);
+  void post(const balancer::Event& event);
+  void take(const node::config::EndpointList& list);
 
   boost::asio::io_context& io_;
-  asterdrift::node::config::NodeConfig config_;
-  asterdrift::balancer::Balancer balancer_;
-  asterdrift::node::discovery::DiscoveryClient discovery_;
+  node::config::NodeConfig config_;
+  balancer::Balancer balancer_;
+  node::discovery::DiscoveryClient discovery_;
   std::function<void(HollowNode&)> acted_;
   Counts counts_;
   std::uint64_t seq_ = 0, calls_ = 0;
@@ -49,6 +49,6 @@
 };
 
 // What the module is told of a list.
-asterdrift::balancer::EndpointUpdate update_of(const asterdrift::node::config::EndpointList& list);
+balancer::EndpointUpdate update_of(const node::config::EndpointList& list);
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/load.cpp
+++ b/scale/load.cpp
@@ -15,7 +15,7 @@
 #include "scale/process.h"
 #include "scale/stand_in_server.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 namespace asio = boost::asio;
@@ -124,4 +124,4 @@
   return Callers(port, calls_per_s, calls, seed).run(patience_s);
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/load.h
+++ b/scale/load.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace scale {
+namespace asterdrift::scale {
 
 struct LoadResult {
   std::vector<double> times;  // s, of the calls that were answered with 200
@@ -18,4 +18,4 @@
 // most. The same seed gives the same moments.
 LoadResult call_at_rate(int port, double calls_per_s, std::size_t calls, unsigned seed, double patience_s);
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/model/fleet_model.cpp
+++ b/scale/model/fleet_model.cpp
@@ -152,7 +152,8 @@
     if (line.empty() || line.front() == '#') continue;
     const std::vector<std::string> parts = cells_of(line, '|');
     if (parts.size() != 6) {
-      throw std::runtime_error(path + ": not 'name | unit | table | row | column | command': " + line);
+      throw std::runtime_error(
+          std::string(path).append(": not 'name | unit | table | row | column | command': ").append(line));
     }
     Slope slope{kUnknown, parts[1], "-", parts[5]};
     for (const char* code : {"final", "untouched"}) {
@@ -507,7 +508,9 @@
     const std::string was = page.substr(text + close.size(), to - text - close.size());
     const std::string* now = figures.find(key);
     if (now == nullptr) throw std::runtime_error("the page asks for '" + key + "', which is unknown");
-    if (was != *now) stale.push_back(key + ": '" + was + "' is '" + *now + "' now");
+    if (was != *now)
+      stale.push_back(
+          std::string(key).append(": '").append(was).append("' is '").append(*now).append("' now"));
     out += page.substr(at, text + close.size() - at) + *now + end;
     at = to + end.size();
   }
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -13,11 +13,8 @@
 #include "scale/report.h"
 #include "scale/slopes.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
-
-namespace qu = asterdrift::balancer;
-
 const std::vector<std::string> kZones = {"a", "b", "c"};
 constexpr int kDialPort = 10000;
 constexpr double kCellLimit = 8;  // s of processor time for the calls of one row
@@ -40,29 +37,30 @@
 
 template <class Work>
 double cost_of(const Work& work) {
-  static const double clock = clock_cost();
+  static const double kClock = clock_cost();
   const double from = cpu_now();
   work();
-  return std::max(0.0, cpu_now() - from - clock);
+  return std::max(0.0, cpu_now() - from - kClock);
 }
 
 template <class Work>
 std::vector<double> costs_of(int times, const Work& work) {
   std::vector<double> out;
+  out.reserve(static_cast<std::size_t>(times));
   for (int i = 0; i < times; ++i) out.push_back(cost_of([&] { work(i); }));
   std::sort(out.begin(), out.end());
   return out;
 }
 
-qu::Settings settings_for(std::size_t servers, const Options& options, int tier) {
+balancer::Settings settings_for(std::size_t servers, const Options& options, int tier) {
   NodeSetup setup;
   setup.copies = static_cast<std::size_t>(options.number("copies", static_cast<double>(servers)));
   setup.tier = tier;
-  return asterdrift::node::config::read_config(config_text(setup)).settings;
+  return node::config::read_config(config_text(setup)).settings;
 }
 
-qu::EndpointUpdate full(std::size_t servers) {
-  return update_of(asterdrift::node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones));
+balancer::EndpointUpdate full(std::size_t servers) {
+  return update_of(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones));
 }
 
 std::string us(double s) { return figure(s * 1e6, 2); }
@@ -75,28 +73,26 @@
                  "read list", "list bytes"});
   for (const std::size_t servers : options.sizes("sizes", kSizes)) {
     const std::string text = whole_list(1, servers, kDialPort);
-    const auto first = update_of(asterdrift::node::config::read_endpoint_list(text, kZones));
-    std::vector<qu::Action> actions;
+    const auto first = update_of(node::config::read_endpoint_list(text, kZones));
+    std::vector<balancer::Action> actions;
     double now = 100;
     const auto starts = costs_of(5, [&](int) {
-      qu::Balancer fresh(settings_for(servers, options, 1), 1);
+      balancer::Balancer fresh(settings_for(servers, options, 1), 1);
       fresh.handle(now, first, actions);
     });
-    qu::Balancer module(settings_for(servers, options, 1), 1);
+    balancer::Balancer module(settings_for(servers, options, 1), 1);
     module.handle(now, first, actions);
     const auto changes = costs_of(servers > 1000 ? 101 : 1001, [&](int i) {
-      qu::EndpointUpdate change;
-      change.form = qu::EndpointUpdate::Form::kIncremental;
+      balancer::EndpointUpdate change;
+      change.form = balancer::EndpointUpdate::Form::kIncremental;
       change.endpoints = {first.endpoints[static_cast<std::size_t>(i / 2) * 7919 % servers]};
-      if (i % 2 == 0) change.endpoints[0].state = qu::EndpointState::kDraining;
+      if (i % 2 == 0) change.endpoints[0].state = balancer::EndpointState::kDraining;
       module.handle(now += 0.1, change, actions);
     });
     const auto again = costs_of(11, [&](int) { module.handle(now += 0.1, first, actions); });
     const std::string one = change_of(2, servers / 2, kDialPort, "leaving");
-    const auto read_one =
-        costs_of(1001, [&](int) { asterdrift::node::config::read_endpoint_list(one, kZones); });
-    const auto read_all =
-        costs_of(11, [&](int) { asterdrift::node::config::read_endpoint_list(text, kZones); });
+    const auto read_one = costs_of(1001, [&](int) { node::config::read_endpoint_list(one, kZones); });
+    const auto read_all = costs_of(11, [&](int) { node::config::read_endpoint_list(text, kZones); });
     report.row({std::to_string(servers), us(median(changes)), us(changes.back()), us(median(starts)),
                 us(median(again)), us(median(read_one)), us(median(read_all)), std::to_string(text.size())});
   }
@@ -114,7 +110,7 @@
 
   CallTrial(std::size_t servers, const Options& options, Subset subset)
       : subset_(subset), period_(1 / options.number("calls-per-s", 330)) {
-    qu::Settings settings = settings_for(servers, options, subset == Subset::kFull ? 0 : 1);
+    balancer::Settings settings = settings_for(servers, options, subset == Subset::kFull ? 0 : 1);
     settings.slow_start_capacity = 0.1;
     settings.slow_start_duration = 3600;
     settings.tenants[0].quota = static_cast<double>(settings.replica_count) / period_;
@@ -146,16 +142,16 @@
  private:
   struct End {
     double at;
-    qu::AttemptResult result;
+    balancer::AttemptResult result;
     bool operator>(const End& other) const { return at > other.at; }
   };
 
   void turn() {
     turned_ = true;
     if (subset_ != Subset::kCold) return;
-    qu::EndpointUpdate restarted;
-    restarted.form = qu::EndpointUpdate::Form::kIncremental;
-    for (qu::Endpoint server : list_.endpoints) {
+    balancer::EndpointUpdate restarted;
+    restarted.form = balancer::EndpointUpdate::Form::kIncremental;
+    for (balancer::Endpoint server : list_.endpoints) {
       if (!members_.contains(server.address)) continue;
       server.started_at = now_;
       restarted.endpoints.push_back(server);
@@ -163,7 +159,7 @@
     handle(restarted);
   }
 
-  double handle(const qu::Event& event) {
+  double handle(const balancer::Event& event) {
     actions_.clear();
     return cost_of([&] { module_->handle(now_, event, actions_); });
   }
@@ -171,7 +167,7 @@
   void call() {
     now_ += period_;
     for (const double upto = now_; !ends_.empty() && ends_.top().at <= upto;) end_next();
-    qu::Request request;
+    balancer::Request request;
     request.id = std::to_string(++last_);
     request.time_left = 5;
     costs_[request.id] = handle(request);
@@ -191,35 +187,35 @@
 
   void follow() {
     clock_ = now_;
-    for (const qu::Action& action : actions_) {
-      if (std::holds_alternative<qu::RejectRequest>(action)) ++refused_;
-      const auto* send = std::get_if<qu::SendAttempt>(&action);
+    for (const balancer::Action& action : actions_) {
+      if (std::holds_alternative<balancer::RejectRequest>(action)) ++refused_;
+      const auto* send = std::get_if<balancer::SendAttempt>(&action);
       if (send == nullptr) continue;
       if (!turned_) members_.insert(send->endpoint);
       const bool of_subset = turned_ && members_.contains(send->endpoint);
       double took = 0.02;
-      qu::Outcome outcome = qu::Outcome::kSuccess;
+      balancer::Outcome outcome = balancer::Outcome::kSuccess;
       if (of_subset && subset_ == Subset::kFull) took = 0.034;
       if (of_subset && subset_ == Subset::kIll) {
         took = 0.001;
-        outcome = qu::Outcome::kConnectFailed;
+        outcome = balancer::Outcome::kConnectFailed;
       }
       const int attempt = attempts_[send->id]++;
-      ends_.push({now_ + took, {send->id, attempt, outcome, took, outcome == qu::Outcome::kSuccess}});
-      if (outcome == qu::Outcome::kSuccess) attempts_.erase(send->id);
+      ends_.push({now_ + took, {send->id, attempt, outcome, took, outcome == balancer::Outcome::kSuccess}});
+      if (outcome == balancer::Outcome::kSuccess) attempts_.erase(send->id);
     }
   }
 
   Subset subset_;
   double period_, now_ = 100, clock_ = 100;
-  std::optional<qu::Balancer> module_;
-  qu::EndpointUpdate list_;
+  std::optional<balancer::Balancer> module_;
+  balancer::EndpointUpdate list_;
   std::set<std::string> members_;  // of the subset
   bool turned_ = false;
   std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
   std::unordered_map<std::string, double> costs_;
   std::unordered_map<std::string, int> attempts_;
-  std::vector<qu::Action> actions_;
+  std::vector<balancer::Action> actions_;
   std::uint64_t last_ = 0;
   std::size_t refused_ = 0, made_ = 0;
 };
@@ -261,27 +257,27 @@
     const std::size_t before_read = allocations().live;
     reset_peak();
     std::size_t read = 0, read_peak = 0;
-    qu::EndpointUpdate first;
+    balancer::EndpointUpdate first;
     {
-      const auto list = asterdrift::node::config::read_endpoint_list(text, kZones);
+      const auto list = node::config::read_endpoint_list(text, kZones);
       read = allocations().live - before_read;
       read_peak = allocations().peak - before_read;
       first = update_of(list);
     }
-    std::vector<qu::Action> actions;
-    const qu::Settings settings = settings_for(servers, options, 1);
+    std::vector<balancer::Action> actions;
+    const balancer::Settings settings = settings_for(servers, options, 1);
     const std::size_t before = allocations().live;
-    qu::Balancer module(settings, 1);
+    balancer::Balancer module(settings, 1);
     const std::size_t empty = allocations().live - before;
     reset_peak();
     module.handle(100, first, actions);
     const std::size_t held = allocations().live - before, peak = allocations().peak - before;
-    qu::EndpointUpdate change;
-    change.form = qu::EndpointUpdate::Form::kIncremental;
+    balancer::EndpointUpdate change;
+    change.form = balancer::EndpointUpdate::Form::kIncremental;
     change.endpoints = {first.endpoints[servers / 2]};
-    change.endpoints[0].state = qu::EndpointState::kDraining;
+    change.endpoints[0].state = balancer::EndpointState::kDraining;
     module.handle(101, change, actions);
-    change.endpoints[0].state = qu::EndpointState::kReady;
+    change.endpoints[0].state = balancer::EndpointState::kReady;
     const Allocations from = allocations();
     module.handle(102, change, actions);
     const Allocations to = allocations();
@@ -294,4 +290,4 @@
   report.print(options.text("json", ""));
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/node_slopes.cpp
+++ b/scale/node_slopes.cpp
@@ -8,7 +8,7 @@
 #include "scale/report.h"
 #include "scale/slopes.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 constexpr double kReadyLimit = 10;  // s
@@ -161,4 +161,4 @@
   report.print(options.text("json", ""));
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/process.cpp
+++ b/scale/process.cpp
@@ -24,7 +24,7 @@
 
 #include "scale/stand_in_server.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 constexpr double kStartLimit = 10;  // s, for a child to tell its port
@@ -285,4 +285,4 @@
   return true;
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/process.h
+++ b/scale/process.h
@@ -11,7 +11,7 @@
 
 #include "scale/stand_in_discovery.h"
 
-namespace scale {
+namespace asterdrift::scale {
 
 double seconds();  // on the system's steady clock, which is the same in all processes
 
@@ -112,4 +112,4 @@
   int port_ = 0;
 };
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/report.cpp
+++ b/scale/report.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <utility>
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 double load_average() {
@@ -54,6 +54,7 @@
               load_after, cores);
   line(columns_);
   std::vector<std::string> rule;
+  rule.reserve(widths.size());
   for (const std::size_t width : widths) rule.emplace_back(width, '-');
   line(rule);
   for (const auto& row : rows_) line(row);
@@ -85,4 +86,4 @@
   return quantile(values, 0.5);
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/report.h
+++ b/scale/report.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace scale {
+namespace asterdrift::scale {
 
 class Report {
  public:
@@ -27,4 +27,4 @@
 double quantile(const std::vector<double>& sorted, double part);
 double median(std::vector<double> values);
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 struct Slope {
@@ -105,19 +105,19 @@
   return out;
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
 
 int main(int count, char** words) {
   std::signal(SIGPIPE, SIG_IGN);
-  for (const scale::Slope& slope : scale::kSlopes) {
+  for (const asterdrift::scale::Slope& slope : asterdrift::scale::kSlopes) {
     if (count < 2 || std::strcmp(words[1], slope.name) != 0) continue;
     try {
-      slope.run(scale::Options(count - 2, words + 2, slope.options));
+      slope.run(asterdrift::scale::Options(count - 2, words + 2, slope.options));
       return 0;
     } catch (const std::exception& problem) {
       std::fprintf(stderr, "slopes %s: %s\n", slope.name, problem.what());
       return 1;
     }
   }
-  return scale::usage();
+  return asterdrift::scale::usage();
 }
--- a/scale/slopes.h
+++ b/scale/slopes.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace scale {
+namespace asterdrift::scale {
 
 // The command's `--name value` pairs.
 class Options {
@@ -33,4 +33,4 @@
 void useless_slope(const Options& options);
 void latency_slope(const Options& options);
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/stand_in_discovery.cpp
+++ b/scale/stand_in_discovery.cpp
@@ -11,7 +11,7 @@
 #include "node/base/clock.h"
 #include "node/config/node_config.h"
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 namespace asio = boost::asio;
@@ -73,7 +73,7 @@
     if (!socket_.is_open()) return;
     error_code ignored;
     socket_.close(ignored);
-    silence_.cancel();
+    silence_.cancel(ignored);
     if (watching_) owner_.counts_.watches -= 1;
     watching_ = false;
   }
@@ -103,7 +103,7 @@
 
   void take(const std::string& head) {
     owner_.counts_.requests += 1;
-    if (owner_.asked_at_.size() < kMostTimes) owner_.asked_at_.push_back(asterdrift::node::base::now());
+    if (owner_.asked_at_.size() < kMostTimes) owner_.asked_at_.push_back(node::base::now());
     const std::string target = head.substr(0, head.find("\r\n"));
     if (owner_.mode_ == Mode::kHang) return;
     if (owner_.mode_ == Mode::kUnavailable) {
@@ -274,4 +274,4 @@
   return std::make_shared<std::string>(chunk(list_text(seq_, false, entries)));
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/stand_in_discovery.h
+++ b/scale/stand_in_discovery.h
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-namespace scale {
+namespace asterdrift::scale {
 
 // Name of the server at a place of the list, the same in every list; each is as long as the others.
 std::string server_name(std::size_t place);
@@ -85,4 +85,4 @@
   std::size_t paced_ = 0;
 };
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/stand_in_server.cpp
+++ b/scale/stand_in_server.cpp
@@ -11,7 +11,7 @@
 #include <memory>
 #include <utility>
 
-namespace scale {
+namespace asterdrift::scale {
 namespace {
 
 namespace asio = boost::asio;
@@ -148,4 +148,4 @@
   });
 }
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/scale/stand_in_server.h
+++ b/scale/stand_in_server.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <string>
 
-namespace scale {
+namespace asterdrift::scale {
 
 // Answers each request with 200 after `delay_s`; 0: at once.
 class StandInServer {
@@ -45,4 +45,4 @@
 // Length of the first whole message in `bytes`: its head and a body of Content-Length. 0: not whole yet.
 std::size_t message_size(const std::string& bytes);
 
-}  // namespace scale
+}  // namespace asterdrift::scale
--- a/src/balancer/replica_state.h
+++ b/src/balancer/replica_state.h
@@ -11,8 +11,8 @@
 Settings validated(Settings settings);
 
 struct ReplicaState {
-  ReplicaState(const Settings& told, std::uint64_t seed)
-      : settings(validated(told)), random(seed), traffic(told), endpoints(told.zone) {}
+  ReplicaState(const Settings& configured, std::uint64_t seed)
+      : settings(validated(configured)), random(seed), traffic(configured), endpoints(configured.zone) {}
 
   const Settings settings;
   support::Random random;
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -191,12 +191,13 @@
     for (int turn = 2; turn < 60; ++turn) {
       nodes.clear();
       for (const int who : whos) {
-        const std::string id = std::to_string(who) + "-" + std::to_string(turn);
-        const std::string old = std::to_string(who) + "-" + std::to_string(turn - 2);
+        const std::string id = std::to_string(who).append("-").append(std::to_string(turn));
+        const std::string old = std::to_string(who).append("-").append(std::to_string(turn - 2));
         nodes += (nodes.empty() ? "" : ",");
-        nodes += R"({"who":)" + std::to_string(who) + R"(,"news":[{"kind":"QUERY","txn":")" + id +
-                 R"(","timeLeft":2},{"kind":"DONE","txn":")" + old + R"(","outcome":")" +
-                 (turn % 3 == 0 ? "shed" : "app_error") + R"(","lag":0.2}]})";
+        nodes.append(R"({"who":)").append(std::to_string(who));
+        nodes.append(R"(,"news":[{"kind":"QUERY","txn":")").append(id);
+        nodes.append(R"(","timeLeft":2},{"kind":"DONE","txn":")").append(old).append(R"(","outcome":")");
+        nodes.append(turn % 3 == 0 ? "shed" : "app_error").append(R"(","lag":0.2}]})");
       }
       lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
     }
--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -12,9 +12,9 @@
 namespace asterdrift::balancer {
 namespace {
 
-Settings one_tenant(double allowance) {
+Settings one_tenant(double quota) {
   Settings s = basic_settings();
-  s.tenants = {{allowance}};
+  s.tenants = {{quota}};
   return s;
 }
 
@@ -157,7 +157,7 @@
 }
 
 // Of a few calls one is always slow; a replica of many that was cut for it denied a third of a calm day.
-TEST(TenantLimit, FewSlowCallsDoNotCutACopyOfManyBelowItsPart) {
+TEST(TenantLimit, FewSlowCallsDoNotCutAReplicaOfManyBelowItsPart) {
   Settings s = one_tenant(8 * 20);
   s.replica_count = 20;
   TestReplica replica(s);
@@ -181,9 +181,9 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, once);
 }
 
-// Where no allowance is told a limit has no part to stand on. Some calls are slow on any day, and one
+// Where no quota is told a limit has no part to stand on. Some calls are slow on any day, and one
 // cut after another left a replica with its least rate while nearly all of its calls ended well.
-TEST(TenantLimit, WithoutAnAllowanceItStaysAboveWhatEndsWell) {
+TEST(TenantLimit, WithoutAnQuotaItStaysAboveWhatEndsWell) {
   for (const bool named : {false, true}) {
     for (const int tier : {0, 1}) {
       Settings s = basic_settings();
@@ -204,7 +204,7 @@
 }
 
 // And what no server answers any more is still held back.
-TEST(TenantLimit, WithoutAnAllowanceAJamCutsIt) {
+TEST(TenantLimit, WithoutAnQuotaAJamCutsIt) {
   TestReplica replica(basic_settings());
   replica.at(0, members(16));
   offer(replica, 0, 20, 40, "a");
@@ -213,7 +213,7 @@
 }
 
 // A limit that an overload had pushed under the tenant's part stayed there for the rest of the day.
-TEST(TenantLimit, AnOverloadDoesNotPushACopyOfManyBelowItsPart) {
+TEST(TenantLimit, AnOverloadDoesNotPushAReplicaOfManyBelowItsPart) {
   Settings s = one_tenant(400);
   s.replica_count = 400;
   TestReplica replica(s);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -9,7 +9,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-// An allowance that no test here reaches: admission stays out of the way.
+// An quota that no test here reaches: admission stays out of the way.
 Settings roomy_settings() {
   Settings s = basic_settings();
   s.tenants = {{1000.0}};
@@ -131,7 +131,7 @@
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
 }
 
-TEST(ConcurrencyLimit, TheStartIsSharedOutOverTheCopies) {
+TEST(ConcurrencyLimit, TheStartIsSharedOutOverTheReplicas) {
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
     Settings s = roomy_settings();
@@ -149,7 +149,7 @@
 }
 
 // A refusal past the first tier throws away the work that was done above it.
-TEST(ConcurrencyLimit, PastTheFirstTierNothingIsRefusedForIt) {
+TEST(ConcurrencyLimit, PastTheFirstTierNothingIsRejectedForIt) {
   Settings s = roomy_settings();
   s.tier = 1;
   TestReplica replica(s);
@@ -158,14 +158,14 @@
 }
 
 // A sparse replica took two calls out at once for a queue and refused a tenth of a calm day.
-TEST(ConcurrencyLimit, ASparseCopyDoesNotRefuseForChance) {
+TEST(ConcurrencyLimit, ALowTrafficReplicaDoesNotRefuseForChance) {
   const FleetDay calm = fleet_day(400, 60, 2.5, 0.3, 60);
   EXPECT_GT(calm.sent, 120);
   EXPECT_LE(calm.refused, calm.sent / 50);
 }
 
 // With bounds of a call or so, none of many sparse replicas ever holds back and a jam never runs off.
-TEST(ConcurrencyLimit, ASparseCopyHoldsBackWhenAnswersTakeTooLong) {
+TEST(ConcurrencyLimit, ALowTrafficReplicaHoldsBackWhenAnswersTakeTooLong) {
   const FleetDay jammed = fleet_day(400, 60, 2.5, 5, 60);
   EXPECT_GT(jammed.refused, 2 * jammed.sent);
 }
@@ -173,7 +173,7 @@
 // A server's room is less than one call at each of many replicas. Counted in whole calls it shut most
 // servers to most replicas, and a replica with a few calls out refused the next before servers that stood
 // idle.
-TEST(ConcurrencyLimit, ManyCopiesDoNotShutServersToEachOther) {
+TEST(ConcurrencyLimit, ManyReplicasDoNotShutServersToEachOther) {
   const FleetDay calm = fleet_day(48, 16, 12, 0.3, 60);
   EXPECT_GT(calm.sent, 500);
   EXPECT_LE(calm.refused, calm.sent / 30);
@@ -190,7 +190,7 @@
 }
 
 // And the room of all servers together is a limit all the same.
-TEST(ConcurrencyLimit, ManyCopiesHoldBackWhenAnswersTakeTooLong) {
+TEST(ConcurrencyLimit, ManyReplicasHoldBackWhenAnswersTakeTooLong) {
   const FleetDay jammed = fleet_day(48, 16, 12, 5, 60);
   EXPECT_GT(jammed.refused, jammed.sent);
 }
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -265,6 +265,7 @@
     }
     std::sort(order.begin(), order.end());
     std::vector<std::string> out;
+    out.reserve(order.size());
     for (const auto& [hash, address] : order) out.push_back(address);
     return out;
   }
@@ -272,6 +273,7 @@
 
 std::vector<std::string> names(const EndpointSet& endpoints, const std::vector<std::uint32_t>& slots) {
   std::vector<std::string> out;
+  out.reserve(slots.size());
   for (const std::uint32_t slot : slots) out.push_back(endpoints[slot].advertised.address);
   return out;
 }
@@ -409,7 +411,7 @@
     }
   }
   EXPECT_EQ(seen.size(), 3000U);
-  EXPECT_NEAR(own, all / 3, all / 30);
+  EXPECT_NEAR(own, all / 3.0, all / 30.0);
 }
 
 TEST(EndpointScale, LooksThatFollowEachOtherSeeAll) {
--- a/tests/balancer/endpoint_update_test.cpp
+++ b/tests/balancer/endpoint_update_test.cpp
@@ -19,12 +19,6 @@
   return used;
 }
 
-// Several replicas, one server that starts at 109, of which they hear at 110. Returns when it was sent to;
-// its answers take so many times as long as those of the others.
-constexpr int kCopies = 10;
-constexpr int kServers = 10;
-constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
-
 TEST(EndpointUpdate, NothingNewOnceTold) {
   for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     TestReplica replica(basic_settings());
--- a/tests/balancer/final_response_test.cpp
+++ b/tests/balancer/final_response_test.cpp
@@ -17,12 +17,6 @@
                                  Outcome::kConnectFailed, Outcome::kConnectionReset, Outcome::kCancelled,
                                  Outcome::kNotSent,       Outcome::kUnknown};
 
-// Several replicas, one server that starts at 109, of which they hear at 110. Returns when it was sent to;
-// its answers take so many times as long as those of the others.
-constexpr int kCopies = 10;
-constexpr int kServers = 10;
-constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
-
 // Orders in which an outcome, the deadline and the client's leaving can meet: one final answer, none after.
 TEST(FinalResponse, OneFinalAnswerUnderEveryOrder) {
   for (const Outcome outcome : kFailures) {
@@ -73,7 +67,7 @@
   EXPECT_GT(sends[0].timeout, 0);
 }
 
-TEST(FinalResponse, WithoutServersARequestIsRefused) {
+TEST(FinalResponse, WithoutServersARequestIsRejected) {
   TestReplica nothing_known(basic_settings());
   EXPECT_EQ(all<RejectRequest>(nothing_known.request("a")).size(), 1U);
   TestReplica draining(basic_settings());
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -9,7 +9,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-// An allowance that no test here reaches: admission stays out of the way.
+// An quota that no test here reaches: admission stays out of the way.
 Settings roomy_settings() {
   Settings s = basic_settings();
   s.tenants = {{1000.0}};
@@ -40,7 +40,7 @@
 };
 
 // A server that fails at once has nothing in flight and looks the least busy of all.
-TEST(OutlierDetection, AFastFailingServerIsShunnedAndComesBack) {
+TEST(OutlierDetection, AFastFailingServerIsEjectedAndComesBack) {
   TestReplica replica(roomy_settings());
   replica.at(0, members(6));
   const auto ill = play(replica, "s2", Outcome::kServerError, 0, 10, 50, "a");
@@ -77,9 +77,8 @@
     const std::string id = std::to_string(i);
     const auto sends = all<SendAttempt>(replica.request(id));
     if (sends.empty()) continue;
-    if (sends[0].endpoint != "s1") {
-      replica.end(id, Outcome::kSuccess, 0, 0.1);
-    } else if (i >= 80) {
+    const bool is_silent = sends[0].endpoint == "s1" && i >= 80;
+    if (is_silent) {
       ++silent;
     } else {
       replica.end(id, Outcome::kSuccess, 0, 0.1);
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -87,12 +87,6 @@
   return m;
 }
 
-// Several replicas, one server that starts at 109, of which they hear at 110. Returns when it was sent to;
-// its answers take so many times as long as those of the others.
-constexpr int kCopies = 10;
-constexpr int kServers = 10;
-constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
-
 // Every effect and scope against every failure: what may be sent again, where, and what may be refused.
 TEST(RetryPolicy, RepeatMatrix) {
   const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -78,7 +78,7 @@
   }
 }
 
-TEST(ColdFleet, ACopyCountThatIsNoLongerTrueChangesNothing) {
+TEST(ColdFleet, AReplicaCountThatIsNoLongerTrueChangesNothing) {
   for (const Fleet& f : kSettings) {
     for (const Crew crew : {Crew::kHalved, Crew::kDoubled, Crew::kReplaced}) {
       for (const int replicas : {4, 30}) {
@@ -116,7 +116,7 @@
 }
 
 // What is held back for safety alone never warms up beside crowded ones.
-TEST(ColdFleet, ColdServersAreNotLeftIdle) {
+TEST(ColdFleet, StartingServersAreNotLeftIdle) {
   for (const int replicas : {4, 30, 300}) {
     Play p = of(kSettings[0], replicas, 4, 0);
     p.unit_rate = 20;
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -11,17 +11,17 @@
 
 // Several replicas, one server that starts at 109, of which they hear at 110. Returns when it was sent to;
 // its answers take so many times as long as those of the others.
-constexpr int kCopies = 10;
+constexpr int kReplicas = 10;
 constexpr int kServers = 10;
 constexpr double kRate = 20;  // a replica; a server's part is 20 a second over all replicas
 
 std::vector<double> sends_to_cold(double times_as_long) {
   Settings s = basic_settings();
-  s.replica_count = kCopies;
+  s.replica_count = kReplicas;
   s.slow_start_capacity = 0.14;
   s.slow_start_duration = 24;
   std::vector<double> sends;
-  for (int c = 0; c < kCopies; ++c) {
+  for (int c = 0; c < kReplicas; ++c) {
     s.replica_index = c;
     TestReplica replica(s, static_cast<std::uint64_t>(c) + 1);
     replica.at(100, members(kServers));
@@ -49,9 +49,9 @@
 }
 
 // Together they stay within what it can take.
-TEST(SlowStart, TheCopiesTogetherKeepTheBudget) {
+TEST(SlowStart, TheReplicasTogetherKeepTheBudget) {
   const std::vector<double> sends = sends_to_cold(1);
-  const double share = kCopies * kRate / kServers;
+  const double share = kReplicas * kRate / kServers;
   for (int step = 0; step < 48; ++step) {
     const double t = 110 + 0.5 * step;
     const double able = share * (0.14 + 0.86 * (t - 109) / 24);
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -110,7 +110,7 @@
 }
 
 // With a subset of fixed size a lone replica would leave most of a large tier without work.
-TEST(Subset, FewCopiesStillReachEveryServer) {
+TEST(Subset, FewReplicasStillReachEveryServer) {
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
     Settings s = basic_settings();
--- a/tests/node/client_request_test.cpp
+++ b/tests/node/client_request_test.cpp
@@ -50,7 +50,7 @@
 }
 
 // The id of a request that is open: sent on, its effect could come twice or its answer go astray.
-TEST(ClientRequest, TurnsAwayAnIdThatIsOpen) {
+TEST(ClientRequest, RejectsAnIdThatIsOpen) {
   NodeFixture w;
   w.serve(w.both());
   TestSocket one = w.client(), two = w.client();
@@ -68,7 +68,7 @@
   EXPECT_TRUE(has(one.message(), " 200 ")) << "it is no longer open";
 }
 
-TEST(ClientRequest, TurnsAwayWhatIsNotSound) {
+TEST(ClientRequest, RejectsWhatIsNotSound) {
   NodeFixture w;
   w.serve(w.both());
   const std::string start = "POST /api HTTP/1.1\r\nRequest-Id: r\r\n";
--- a/tests/node/connection_limit_test.cpp
+++ b/tests/node/connection_limit_test.cpp
@@ -15,6 +15,7 @@
   w.sockets = 100;
   w.serve(host("s0", w.servers[0].port()));
   std::vector<TestSocket> silent;
+  silent.reserve(120);
   for (int i = 0; i < 120; ++i) silent.push_back(w.client());
   TestSocket caller = w.client();
   w.expect_served(caller);
@@ -61,6 +62,7 @@
   }
   TestSocket caller = w.client();
   std::vector<TestSocket> crowd;
+  crowd.reserve(10);
   for (int i = 0; i < 10; ++i) crowd.push_back(w.client());
   crowd.back().send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(crowd.back().message(), " 200 ")) << "all of the crowd are connected";
@@ -100,6 +102,7 @@
   w.tell(list(7, true, host("s0", w.servers[0].port())));
   w.await_ready();
   std::vector<TestSocket> silent;
+  silent.reserve(40);
   for (int i = 0; i < 40; ++i) silent.push_back(w.client());
   silent.back().send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(has(silent.back().message(), " 200 ")) << "those before it made room";
--- a/tests/node/crossing_events_test.cpp
+++ b/tests/node/crossing_events_test.cpp
@@ -13,6 +13,7 @@
   PatientNodeFixture w;
   w.serve(host("s0", w.servers[0].port()));
   std::vector<TestSocket> fresh;
+  fresh.reserve(300);
   for (int i = 0; i < 300; ++i) fresh.push_back(w.client());
   w.health();  // behind them in the machine's queue: they have been taken
   const double from = seconds();
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -166,10 +166,9 @@
 TEST(Discovery, ListsThatCanNotBeReadEndTheirWatch) {
   PatientNodeFixture w;
   w.serve(host("s0", w.servers[0].port()));
-  for (const std::string spoilt : {R"({"seq":8,"hosts":[})",
-                                   R"({"seq":8,"ho)"
-                                   "\n",
-                                   "]", "seq", R"({"seq":8})"}) {
+  const std::string line_end_in_string = std::string(R"({"seq":8,"ho)") + "\n";
+  for (const std::string& spoilt : {std::string(R"({"seq":8,"hosts":[})"), line_end_in_string,
+                                    std::string("]"), std::string("seq"), std::string(R"({"seq":8})")}) {
     w.tell(spoilt);
     EXPECT_TRUE(w.watch.ended()) << spoilt;
     EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << spoilt;
--- a/tests/node/long_endpoint_list_test.cpp
+++ b/tests/node/long_endpoint_list_test.cpp
@@ -114,7 +114,7 @@
   expect_served(w, w.servers[1]);
 }
 
-TEST(Membership, AListTooLargeForTheMemoryIsRefusedWithOneLine) {
+TEST(Membership, AListTooLargeForTheMemoryIsRejectedWithOneLine) {
   ManagedWorld w;
   w.memory_mb = 16;
   w.serve(host("s0", w.servers[0].port()));
--- a/tests/node/shutdown_test.cpp
+++ b/tests/node/shutdown_test.cpp
@@ -58,7 +58,7 @@
 }
 
 // What never left is refused, with advice where that is allowed, and is not sent afterwards.
-TEST(Shutdown, ADrainsEndRefusesWhatHasNotBeenSent) {
+TEST(Shutdown, ADrainsEndRejectsWhatHasNotBeenSent) {
   for (const bool may : {false, true}) {
     const LateServer late;
     PatientNodeFixture w;
--- a/tests/node/startup_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -111,6 +111,7 @@
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       next[i]->port();
       std::vector<TestSocket> crowd;
+      crowd.reserve(40);
       for (int c = 0; c < 40; ++c) crowd.push_back(TestSocket::to(nodes[i]->port));
       for (TestSocket& early : crowd) early.send("POST /api HTTP/1.1\r\n");
       ready_in_time(*next[i], from);
--- a/tests/node/streaming_test.cpp
+++ b/tests/node/streaming_test.cpp
@@ -8,7 +8,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-constexpr std::size_t kMega = 1024 * 1024;
+constexpr std::size_t kMega = 1024UL * 1024;
 
 // No two stretches of it are alike: what is lost, doubled or moved shows.
 std::string body_of(std::size_t size) {
--- a/tests/node/upstream_response_test.cpp
+++ b/tests/node/upstream_response_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Spoilt answers on a connection that stays open: each ends its attempt at once, and its connection with it.
-TEST(UpstreamResponse, GivesUpSpoiltAnswersAtOnce) {
+TEST(UpstreamResponse, GivesUpInvalidResponsesAtOnce) {
   const std::string good = "HTTP/1.1 200 OK\r\n";
   const std::vector<std::string> answers = {
       good + "Content-Length: 3000000000\r\n\r\n" + std::string(1000, 'x'),
@@ -67,7 +67,7 @@
     caller.send(request("close"));
     if (i == 0) server = w.servers[0].accept();
     server.message();
-    const std::string body(400 * 1024, static_cast<char>('a' + i));
+    const std::string body(400UL * 1024, static_cast<char>('a' + i));
     server.send(ok(body));
     EXPECT_TRUE(caller.message().ends_with("\r\n\r\n" + body)) << "on the same connections";
   }
--- a/tests/node_unit/endpoint_list_reader_test.cpp
+++ b/tests/node_unit/endpoint_list_reader_test.cpp
@@ -33,6 +33,12 @@
   return out;
 }
 
+std::string joined(std::initializer_list<std::string> parts) {
+  std::string out;
+  for (const std::string& part : parts) out += part;
+  return out;
+}
+
 // The lists in a text that comes in pieces.
 std::vector<EndpointList> read(std::string_view text, std::size_t piece, std::size_t most = 1000) {
   EndpointListReader reader(kZones, most);
@@ -54,13 +60,13 @@
   const std::string odd = R"({"note":[{"a":"]}"}],"health":"leaving","dial":"10.0.0.2:1","host":"s}]\""})";
   const std::string seq = R"("seq":18446744073709551615)",
                     hosts = R"("hosts":[)" + odd + "," + entry(1) + "]";
-  for (const std::string& list :
-       {"{" + seq + R"(,"whole":true,)" + unknown + hosts + "}",
-        "{" + hosts + "," + unknown + R"("whole" : true, )" + seq + "}",
-        "{" + unknown + R"("ho\u0073ts" :)" + hosts.substr(8) + R"(,"hosts":[7],"whole":true,)" + seq + " }",
-        "{\r\n  " + hosts.substr(0, 9) + "\n\t" + odd + "\n  ,\n  " + entry(1) +
-            "\n ]\n,\n\"whole\"\n:\ntrue," + seq + "}"}) {
-    const std::string text = "\n" + list + "\n\n" + list + list;
+  for (const std::string& list : {joined({"{", seq, R"(,"whole":true,)", unknown, hosts, "}"}),
+                                  joined({"{", hosts, ",", unknown, R"("whole" : true, )", seq, "}"}),
+                                  joined({"{", unknown, R"("ho\u0073ts" :)", hosts.substr(8),
+                                          R"(,"hosts":[7],"whole":true,)", seq, " }"}),
+                                  joined({"{\r\n  ", hosts.substr(0, 9), "\n\t", odd, "\n  ,\n  ", entry(1),
+                                          "\n ]\n,\n\"whole\"\n:\ntrue,", seq, "}"})}) {
+    const std::string text = joined({"\n", list, "\n\n", list, list});
     for (const std::size_t piece : {std::size_t{1}, std::size_t{2}, std::size_t{7}, text.size()}) {
       const auto lists = read(text, piece);
       ASSERT_EQ(lists.size(), 3U) << list;
@@ -81,7 +87,7 @@
 }
 
 // None of these is a list, wherever it is spoilt, nor is any beginning of a good one.
-TEST(EndpointListReader, RefusesWhatIsNoList) {
+TEST(EndpointListReader, RejectsWhatIsNoList) {
   const std::string one = entry(1);
   const std::vector<std::string> spoilt = {
       std::string("seq"),
@@ -125,7 +131,7 @@
 }
 
 // However long a list is, it is read; the node's memory alone sets how many servers it may name.
-TEST(EndpointListReader, RefusesOnlyWhatTheMemoryCannotHold) {
+TEST(EndpointListReader, RejectsOnlyWhatTheMemoryCannotHold) {
   const std::string long_list = R"({"hosts":[)" + entries(27000) + R"(],"whole":true,"seq":3})";
   EXPECT_EQ(read(long_list, 4096, 27000).at(0).endpoints.size(), 27000U);
   EXPECT_THROW(read(long_list, 4096, 26999), std::exception);
--- a/tests/node_unit/poll_budget_test.cpp
+++ b/tests/node_unit/poll_budget_test.cpp
@@ -22,11 +22,13 @@
   constexpr double kDay = 86400;
   PollBudget budget;
   double got = 0, longest = 0, now = 1e6;
-  for (const double end = now + kDay; now < end; now += budget.wait(now) + poll_timeouts::kWait / 2) {
+  const double end = now + kDay;
+  while (now < end) {
     got += static_cast<double>(bytes);
     budget.record_waste(now, bytes, 1, why);
     if (why == PollBudget::Waste::kInvalid) budget.record_invalid_list(now, 1);
     longest = std::max(longest, budget.wait(now));
+    now += budget.wait(now) + poll_timeouts::kWait / 2;
   }
   return {got / kDay, longest};
 }
@@ -98,13 +100,14 @@
 }
 
 // Whatever hangs at a moment from which discovery could be reached, one more call that hangs, and both waits
-// are over before a change counts as told. See the table in node/poll_timeouts.h.
+// are over before a change counts as told. See the table in node/discovery/poll_timeouts.h.
 TEST(PollTimeouts, AChangeIsHeardBeforeItCountsAsTold) {
   using namespace poll_timeouts;
   for (const bool pushed : {false, true}) {
     const double waits = pushed ? wait(true) : std::max(wait(false), longest_wait(10));
     std::vector<double> calls = {0};  // how long each kind of call can take: refused, 503 or cut at once
-    for (double connected = 0; connected <= connected_by(pushed, 0); connected += 0.1) {
+    for (int tenths = 0; tenths / 10.0 <= connected_by(pushed, 0); ++tenths) {
+      const double connected = tenths / 10.0;
       calls.push_back(connected);
       calls.push_back(answered_by(pushed, 0, connected));
     }
--- a/tests/support/fleet_model.h
+++ b/tests/support/fleet_model.h
@@ -144,13 +144,13 @@
       s.told.weight = i % 2 == 0 ? 2 : 1;
       s.cores = i % 2 == 0 ? 2 : 1;
       s.rate = play_.unit_rate * s.told.weight * (0.85 + 0.3 * unit());
-      s.room = static_cast<std::size_t>(s.cores * 6);
+      s.room = 6 * static_cast<std::size_t>(s.cores);
       capacity_ += s.rate;
       servers_.push_back(s);
     }
     for (int i = 0; i < play_.cold; ++i) cold_.push_back(static_cast<std::size_t>(i));
     for (const std::size_t i : cold_) servers_[i].down = !play_.back;
-    const auto ill = static_cast<std::size_t>(play_.troubled * (play_.servers - play_.cold) + 0.5);
+    const auto ill = static_cast<std::size_t>(std::lround(play_.troubled * (play_.servers - play_.cold)));
     for (std::size_t i = 0; i < ill; ++i) servers_[servers_.size() - 1 - i].trouble = play_.trouble;
   }
 
