--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "node/base/clock.h"
+#include "node/base/http_response.h"
 #include "node/telemetry/log.h"
 
 namespace asterdrift::node::admin {
@@ -25,9 +26,6 @@
 constexpr double kCallTimeout = 2.2;  // s for a call, and as long again to take its response
 constexpr double kCloseTimeout = 1;   // s for a peer to close after its response
 
-constexpr std::string_view kTimeoutResponse =
-    "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-
 }  // namespace
 
 AdminConnection::AdminConnection(const AdminCallbacks& callbacks, tcp::socket socket)
@@ -47,7 +45,8 @@
 
 void AdminConnection::close_overdue() {
   error_code ignored;
-  if (state_ == State::kReading && has_bytes_) socket_.write_some(asio::buffer(kTimeoutResponse), ignored);
+  if (state_ == State::kReading && has_bytes_)
+    socket_.write_some(asio::buffer(base::kTimeoutResponse), ignored);
   close();
 }
 
@@ -118,9 +117,7 @@
 void AdminConnection::respond(unsigned status, const std::string& body, const std::string& headers) {
   state_ = State::kResponding;
   state_since_ = now();
-  const auto reason = http::obsolete_reason(static_cast<http::status>(status));
-  output_ = "HTTP/1.1 " + std::to_string(status) + " ";
-  output_.append(reason.data(), reason.size()).append("\r\n").append(headers);
+  output_ = base::status_line(status).append(headers);
   output_ += "Content-Length: " + std::to_string(body.size()) + "\r\nConnection: close\r\n\r\n" + body;
   asio::async_write(socket_, asio::buffer(output_),
                     [self = shared_from_this()](const error_code& error, std::size_t) {
--- a/node/base/clock.cpp
+++ b/node/base/clock.cpp
@@ -18,8 +18,8 @@
 double now() { return seconds_of<std::chrono::steady_clock>(); }
 
 double steady_time_of_unix_ms(double unix_ms) {
-  static const double offset = now() - seconds_of<std::chrono::system_clock>();
-  return unix_ms == 0 ? 0 : unix_ms / 1000 + offset;
+  static const double kOffset = now() - seconds_of<std::chrono::system_clock>();
+  return unix_ms == 0 ? 0 : unix_ms / 1000 + kOffset;
 }
 
 std::chrono::nanoseconds duration_of(double seconds) {
--- /dev/null
+++ b/node/base/http_response.h
@@ -0,0 +1,16 @@
+// Parts of HTTP/1.1 responses that the node writes itself.
+#pragma once
+
+#include <string>
+#include <string_view>
+
+namespace asterdrift::node::base {
+
+// "HTTP/1.1 STATUS REASON" with its end of line.
+std::string status_line(unsigned status);
+
+// To a peer that has sent a part of a request and had its time.
+constexpr std::string_view kTimeoutResponse =
+    "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
+}  // namespace asterdrift::node::base
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "node/base/clock.h"
+#include "node/base/http_response.h"
 #include "node/base/socket_probe.h"
 #include "node/telemetry/log.h"
 
@@ -25,8 +26,6 @@
 constexpr std::size_t kMostPipelined = RequestParser::kMostHeadBytes + base::kMostBufferedBody;
 constexpr int kStreamSendBuffer = 64 * 1024;  // bytes; what the system holds of a streamed response
 
-constexpr std::string_view kTimeoutResponse =
-    "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
@@ -78,7 +77,7 @@
   if (now() - (has_responded_ ? reader_.began_at() : connected_at_) < limit) return false;
   if (!reader_.is_behind(now())) return false;
   error_code ignored;
-  if (state_ != State::kFresh) socket_.write_some(asio::buffer(kTimeoutResponse), ignored);
+  if (state_ != State::kFresh) socket_.write_some(asio::buffer(base::kTimeoutResponse), ignored);
   close();
   return true;
 }
--- a/node/downstream/response_writer.cpp
+++ b/node/downstream/response_writer.cpp
@@ -1,16 +1,14 @@
 #include "node/downstream/response_writer.h"
 
-#include <boost/beast/http/status.hpp>
 #include <cstdio>
 #include <utility>
 
 #include "node/base/http_body.h"
+#include "node/base/http_response.h"
 
 namespace asterdrift::node::downstream {
 namespace {
 
-namespace http = boost::beast::http;
-
 bool has_unknown_length(const dispatch::Response& response) {
   return response.streamed_body && !response.content_length;
 }
@@ -22,9 +20,7 @@
 }
 
 std::string head_of(const dispatch::Response& response, bool close_connection, bool is_chunked) {
-  std::string head = "HTTP/1.1 " + std::to_string(response.status) + " ";
-  const auto reason = http::obsolete_reason(static_cast<http::status>(response.status));
-  head.append(reason.data(), reason.size()).append("\r\n");
+  std::string head = base::status_line(response.status);
   if (is_chunked) {
     head += "Transfer-Encoding: chunked\r\n";
   } else if (!has_unknown_length(response)) {
--- a/node/process/process_group.cpp
+++ b/node/process/process_group.cpp
@@ -48,12 +48,18 @@
   const std::string path = lock_file_path(directory, listen_address);
   const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK, 0600);
   if (file < 0) return;
-  for (slot_ = 0; is_own_regular_file(file) && slot_ < kMostProcesses; ++slot_) {
-    if (!lock(file, F_WRLCK, byte_of(slot_, State::kAlive), 1, F_SETLK)) continue;
+  if (is_own_regular_file(file) && take_slot(file)) {
     file_ = file;
-    return;
+  } else {
+    ::close(file);
   }
-  ::close(file);
+}
+
+bool ProcessGroup::take_slot(int file) {
+  for (slot_ = 0; slot_ < kMostProcesses; ++slot_) {
+    if (lock(file, F_WRLCK, byte_of(slot_, State::kAlive), 1, F_SETLK)) return true;
+  }
+  return false;
 }
 
 ProcessGroup::~ProcessGroup() {
--- a/node/process/process_group.h
+++ b/node/process/process_group.h
@@ -32,6 +32,9 @@
   std::size_t count_others(State state) const;
 
  private:
+  // Publishes kAlive in the first slot that no other process has. Whether there is one.
+  bool take_slot(int file);
+
   int file_ = -1;
   int slot_ = 0;  // of this process in the file
 };
