--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -100,9 +100,11 @@
   if (is_busy(state)) ++server_.busy_connections;
   state_ = state;
   state_since_ = now();
+  is_listed_ = false;  // also where the insertion fails
   ConnectionList* list = server_.lists.of(state);
-  is_listed_ = list != nullptr;
-  if (is_listed_) position_ = list->insert(list->end(), self);
+  if (list == nullptr) return;
+  position_ = list->insert(list->end(), self);
+  is_listed_ = true;
 }
 
 // What goes wrong on one connection, be it memory, ends that one alone.
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -22,7 +22,7 @@
   balancer.handle(0.1, asterdrift::balancer::Request{.id = "r1", .time_left = 2}, actions);
   for (const asterdrift::balancer::Action& action : actions) {
     if (const auto* send = std::get_if<asterdrift::balancer::SendAttempt>(&action)) {
-      std::cout << send->id << " -> " << send->server << ", time-out " << send->timeout << " s\n";
+      std::cout << send->id << " -> " << send->endpoint << ", time-out " << send->timeout << " s\n";
       return 0;
     }
   }
