--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -4,19 +4,20 @@
 #include <utility>
 
 #include "node/base/clock.h"
+#include "node/base/http_status.h"
 #include "node/discovery/poll_timeouts.h"
 
 namespace asterdrift::node::discovery {
 namespace {
 
 namespace http = boost::beast::http;
+using base::kOk;
 using boost::system::error_code;
 using Kind = WatchError::Kind;
 
 // Bytes of a long list which show that the watch is alive.
 constexpr std::size_t kProgressBytes = 64UL * 1024;
 constexpr int kHttp11 = 11;
-constexpr unsigned kOk = 200;
 
 }  // namespace
 
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -5,12 +5,17 @@
 #include <variant>
 
 #include "node/base/clock.h"
+#include "node/base/http_status.h"
 #include "node/telemetry/log.h"
 
 namespace asterdrift::node::dispatch {
 namespace {
 
 using balancer::Outcome;
+using base::kBadGateway;
+using base::kGatewayTimeout;
+using base::kOk;
+using base::kServiceUnavailable;
 using base::now;
 using boost::system::error_code;
 
@@ -21,8 +26,6 @@
 constexpr double kResponsePart = 0.4;  // of the reserve; the node's own deadline is so long before the limit
 constexpr double kFirstListTimeout = 1;  // s; a node that knows endpoints waits so long for a newer list
 
-constexpr unsigned kOk = 200, kBadGateway = 502, kServiceUnavailable = 503, kGatewayTimeout = 504;
-
 // Which outcomes prove that an attempt never ran.
 bool never_ran(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
--- a/node/downstream/request_error.h
+++ b/node/downstream/request_error.h
@@ -4,6 +4,8 @@
 #include <stdexcept>
 #include <string>
 
+#include "node/base/http_status.h"
+
 namespace asterdrift::node::downstream {
 
 // A request that cannot be used, or that this node has no memory for. It reaches no server. The message, if
@@ -19,15 +21,14 @@
   unsigned status_;
 };
 
-// HTTP statuses of the node's own responses.
-constexpr unsigned kOk = 200;
-constexpr unsigned kBadRequest = 400;
-constexpr unsigned kNotFound = 404;
-constexpr unsigned kMethodNotAllowed = 405;
-constexpr unsigned kConflict = 409;
-constexpr unsigned kPayloadTooLarge = 413;
-constexpr unsigned kUriTooLong = 414;
-constexpr unsigned kHeaderFieldsTooLarge = 431;
-constexpr unsigned kServiceUnavailable = 503;
+using base::kBadRequest;
+using base::kConflict;
+using base::kHeaderFieldsTooLarge;
+using base::kMethodNotAllowed;
+using base::kNotFound;
+using base::kOk;
+using base::kPayloadTooLarge;
+using base::kServiceUnavailable;
+using base::kUriTooLong;
 
 }  // namespace asterdrift::node::downstream
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -2,10 +2,14 @@
 
 #include <algorithm>
 
+#include "node/base/http_status.h"
+
 namespace asterdrift::node::telemetry {
 namespace {
 
-constexpr unsigned kOk = 200, kTooManyRequests = 429, kServiceUnavailable = 503;
+using base::kOk;
+using base::kServiceUnavailable;
+using base::kTooManyRequests;
 
 std::string line(const std::string& name, std::uint64_t value, char kind) {
   return "app." + name + ":" + std::to_string(value) + "|" + kind + "\n";
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -6,6 +6,7 @@
 #include <utility>
 
 #include "node/base/clock.h"
+#include "node/base/http_status.h"
 #include "node/base/socket_probe.h"
 #include "node/telemetry/log.h"
 
@@ -15,15 +16,14 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using balancer::Outcome;
+using base::kOk;
 using base::now;
 using boost::system::error_code;
 
 constexpr double kBufferTime = 0.1;       // s; a response of unknown length is buffered before it is streamed
 constexpr double kStallTimeout = 15;      // s without a byte of a body that is streamed
 constexpr double kLeastTimeoutMs = 1;     // told to the server
-constexpr double kFreshIdleTime = 0.1;    // s; a connection idle for less has hardly ever gone stale
 constexpr double kStaleResetTime = 0.02;  // s; a reused connection that breaks so soon was stale
-constexpr unsigned kOk = 200;
 
 }  // namespace
 
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -19,6 +19,9 @@
 
 namespace asterdrift::node::upstream {
 
+// s; a connection that has been idle for less has hardly ever gone stale.
+constexpr double kFreshIdleTime = 0.1;
+
 // What the connections of a pool share, and whom they tell of their changes. Outlives them.
 class ConnectionOwner {
  public:
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -12,9 +12,8 @@
 using base::now;
 using boost::system::error_code;
 
-constexpr double kAvoidIdleTime = 10;   // s after a stale connection
-constexpr double kFreshIdleTime = 0.1;  // s; a connection idle for less has hardly ever gone stale
-constexpr double kIdleTimePart = 0.9;   // of the servers' idle timeout; older connections are not reused
+constexpr double kAvoidIdleTime = 10;  // s after a stale connection
+constexpr double kIdleTimePart = 0.9;  // of the servers' idle timeout; older connections are not reused
 
 void add_connecting(const std::vector<std::shared_ptr<Connection>>& connecting,
                     std::vector<AttemptHandle>& attempts) {
