--- a/src/balancer/admission_control.h
+++ b/src/balancer/admission_control.h
@@ -28,13 +28,13 @@
   double window_s_;
   support::SlidingWindow window_;
   double quota_part_ = 0;  // this replica's part of the quota
-  double limit_ = kForever, floor_;
+  double limit_ = kInfinity, floor_;
   double floor_multiple_ = 0;  // of what is answered in time, in the floor; only without a quota
   double rise_part_ = 0;       // of the limit, in one rise
-  double cached_factor_ = 0, cached_until_ = -kForever;
-  double ended_ = 0, overloaded_ = 0, next_review_ = -kForever;  // requests since the last review
+  double cached_factor_ = 0, cached_until_ = -kInfinity;
+  double ended_ = 0, overloaded_ = 0, next_review_ = -kInfinity;  // requests since the last review
   support::DecayingRate in_time_;
-  double first_end_at_ = kForever;
+  double first_end_at_ = kInfinity;
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -53,7 +53,7 @@
       log_shedding(over_limit_);
       return;
     }
-    state_.traffic.admitted.add(state_.now);
+    state_.traffic.admission_rate.add(state_.now);
     PendingRequest& request = requests_[event.id];
     request.tenant = tenant;
     request.body_arriving = event.body_arriving;
@@ -80,9 +80,9 @@
   void on(const AttemptResult& event) {
     const auto [request, attempt] = find_open(event.id, event.attempt);
     if (attempt == nullptr) return;
-    attempt->end(event.outcome);
     end_in_flight(*attempt);
     record(*request, *attempt, event.outcome, event.elapsed);
+    attempt->end(event.outcome);
     if (event.request_done && !request->finished) {
       request->finished = true;
       cancel_open(event.id, *request);
@@ -101,12 +101,13 @@
     // Latency counts up to the first byte: a large response's end tells of its size and of the client.
     end_in_flight(*attempt);
     record(*request, *attempt, Outcome::kSuccess, event.elapsed);
+    attempt->response_started();
   }
 
   void on(const RequestBodySent& event) {
     const auto [request, attempt] = find_open(event.id, event.attempt);
     if (attempt == nullptr || !std::exchange(request->body_arriving, false)) return;
-    request->deadline += state_.now - attempt->sent_at;
+    request->deadline += state_.now - attempt->sent_at();
     if (!request->streaming) begin_in_flight(*attempt);
   }
 
@@ -131,8 +132,8 @@
       actions_->push_back(SetTimer{state_.now + most * (0.5 + state_.random.unit() / 2), kWatchTimer});
       return;
     }
-    concurrency_.endpoints_listed();
-    state_.endpoints.apply(update, state_.now, state_.traffic.responses, state_.random);
+    concurrency_.on_endpoint_list();
+    state_.endpoints.apply(update, state_.now, state_.traffic.response_count, state_.random);
     state_.subset.update(state_.settings, state_.endpoints);
   }
 
@@ -148,10 +149,10 @@
     if (timeout <= 0) return false;
     if (!request.attempts.empty()) retries_.spend(request);
     slow_start_.spend(record);
-    const Endpoint& to = record.advertised;
-    request.attempts.push_back({*slot, record.hash, to.zone, to.cell, state_.now});
+    request.attempts.emplace_back(*slot, record, state_.now);
     if (!request.body_arriving) begin_in_flight(request.attempts.back());
-    actions_->push_back(SendAttempt{id, to.address, timeout, request.dedup_time_left(state_.now)});
+    actions_->push_back(
+        SendAttempt{id, record.advertised.address, timeout, request.dedup_time_left(state_.now)});
     return true;
   }
 
@@ -164,7 +165,7 @@
   void cancel_open(const std::string& id, const PendingRequest& request) {
     if (!state_.settings.cancel_allowed || request.streaming) return;
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
-      if (request.attempts[i].open) actions_->push_back(CancelAttempt{id, static_cast<int>(i)});
+      if (request.attempts[i].is_open()) actions_->push_back(CancelAttempt{id, static_cast<int>(i)});
     }
   }
 
@@ -183,39 +184,39 @@
     const auto index = static_cast<std::size_t>(number);  // below 0 is past the end too
     if (it == requests_.end() || index >= it->second.attempts.size()) return {};
     Attempt& attempt = it->second.attempts[index];
-    return attempt.open ? std::pair(&it->second, &attempt) : std::pair<PendingRequest*, Attempt*>();
+    return attempt.is_open() ? std::pair(&it->second, &attempt) : std::pair<PendingRequest*, Attempt*>();
   }
 
   // An endpoint has the whole request. Counted while their bodies arrive, a few slow clients would use up the
   // tier's capacity.
   void begin_in_flight(Attempt& attempt) {
-    EndpointRecord& record = state_.endpoints[attempt.slot];
-    if (record.hash != attempt.hash) return;  // it was removed meanwhile, and its slot is another's
-    attempt.in_flight = true;
-    attempt.sent_at = state_.now;
+    EndpointRecord& record = state_.endpoints[attempt.slot()];
+    if (record.hash != attempt.endpoint_hash())
+      return;  // it was removed meanwhile, and its slot is another's
+    attempt.request_sent(state_.now);
     record.in_flight += 1;
     record.sent_at_sum += state_.now;
-    state_.endpoints.track(attempt.slot, state_.now);
+    state_.endpoints.track(attempt.slot(), state_.now);
     state_.traffic.in_flight.change(state_.now, 1);
   }
 
   // The endpoint has responded, or nobody waits any more.
   void end_in_flight(Attempt& attempt) {
-    state_.endpoints.track(attempt.slot, state_.now);
-    if (!std::exchange(attempt.in_flight, false)) return;
-    EndpointRecord& record = state_.endpoints[attempt.slot];
+    state_.endpoints.track(attempt.slot(), state_.now);
+    if (attempt.state() != Attempt::State::kInFlight) return;
+    EndpointRecord& record = state_.endpoints[attempt.slot()];
     record.in_flight -= 1;
-    record.sent_at_sum -= attempt.sent_at;
+    record.sent_at_sum -= attempt.sent_at();
     state_.traffic.in_flight.change(state_.now, -1);
   }
 
   // Records, once, what an attempt's end tells of its endpoint, of the tier and of its tenant's limit.
-  void record(const PendingRequest& request, Attempt& attempt, Outcome outcome, double elapsed) {
-    const EndpointRecord& record = state_.endpoints[attempt.slot];
-    if (std::exchange(attempt.recorded, true) || record.hash != attempt.hash) return;
+  void record(const PendingRequest& request, const Attempt& attempt, Outcome outcome, double elapsed) {
+    const EndpointRecord& record = state_.endpoints[attempt.slot()];
+    if (attempt.state() == Attempt::State::kResponding || record.hash != attempt.endpoint_hash()) return;
     const bool was_healthy = !state_.outliers.is_outlier(record, state_.now);
     if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return;
-    const double latency = record_latency(attempt.slot, request, outcome, elapsed);
+    const double latency = record_latency(attempt.slot(), request, outcome, elapsed);
     // Errors and broken connections tell nothing of the capacity behind a limit.
     const bool broken = outcome == Outcome::kConnectionReset || outcome == Outcome::kUnknown;
     if (broken || outcome == Outcome::kServerError) return;
@@ -235,9 +236,9 @@
     const bool success = outcome == Outcome::kSuccess;
     if (success) {
       retries_.earn();
-      record.responses.add(now);
-      traffic.answered.add(now);
-      ++traffic.responses;
+      record.response_rate.add(now);
+      traffic.response_rate.add(now);
+      ++traffic.response_count;
       traffic.idle_latency.add(now, latency);
     }
     if (success || outcome == Outcome::kTimedOut) {
@@ -263,7 +264,7 @@
   std::unordered_map<std::string, PendingRequest> requests_;  // never iterated: their order is not stable
   std::vector<Action>* actions_ = nullptr;
   int over_limit_ = 0, without_capacity_ = 0;  // rejected since the last log line
-  double next_log_at_ = kForever;
+  double next_log_at_ = kInfinity;
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed)
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -54,10 +54,11 @@
 bool EndpointSelection::in_dedup_scope(const PendingRequest& request, const EndpointRecord& record) const {
   const RequestClass& c = *request.rules;
   for (const Attempt& a : request.attempts) {
-    if (!a.may_have_run || c.idempotency == Idempotency::kIdempotent) continue;
-    if (c.idempotency == Idempotency::kNotIdempotent || state_.now > a.sent_at + c.dedup_window) return false;
-    if (c.dedup_scope == DedupScope::kZone && a.zone != record.advertised.zone) return false;
-    if (c.dedup_scope == DedupScope::kCell && a.cell != record.advertised.cell) return false;
+    if (!a.may_have_run() || c.idempotency == Idempotency::kIdempotent) continue;
+    if (c.idempotency == Idempotency::kNotIdempotent || state_.now > a.sent_at() + c.dedup_window)
+      return false;
+    if (c.dedup_scope == DedupScope::kZone && a.zone() != record.advertised.zone) return false;
+    if (c.dedup_scope == DedupScope::kCell && a.cell() != record.advertised.cell) return false;
   }
   return true;
 }
@@ -70,8 +71,8 @@
   const bool bound = c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope != DedupScope::kAll;
   if (!bound || endpoints.ready().size() <= kMostExamined) return endpoints.all();
   for (const Attempt& a : request.attempts) {
-    if (!a.may_have_run) continue;
-    return c.dedup_scope == DedupScope::kZone ? endpoints.in_zone(a.zone) : endpoints.in_cell(a.cell);
+    if (!a.may_have_run()) continue;
+    return c.dedup_scope == DedupScope::kZone ? endpoints.in_zone(a.zone()) : endpoints.in_cell(a.cell());
   }
   return endpoints.all();
 }
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "balancer/concurrency_limit.h"
-#include "balancer/request_state.h"
+#include "balancer/pending_request.h"
 #include "balancer/slow_start.h"
 #include "support/weighted_sample.h"
 
@@ -40,7 +40,8 @@
   SlowStart& slow_start_;
   std::vector<std::uint32_t> examined_;  // slots
   support::WeightedSample<std::uint32_t> candidates_;
-  support::DecayingMean local_latency_{kLatencyMemory, kMostZoneSamples}, remote_latency_ = local_latency_;
+  support::DecayingMean local_latency_{kLatencyTimeConstantS, kMostZoneSamples},
+      remote_latency_ = local_latency_;
   double remote_weight_ = 0;  // of the candidates that are being collected
 };
 
--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -87,7 +87,7 @@
     next_tracked_ = (next_tracked_ + 1) % tracked_.size();
     EndpointRecord& record = records_[tracked_[next_tracked_]];
     if (tracked_[next_tracked_] == slot || record.in_flight > 0) continue;
-    if (record.latency.at(now).sum >= kLeastTrackedLatency) continue;
+    if (record.latency.at(now).sum >= kMinTrackedLatency) continue;
     record.tracked = false;
     tracked_[next_tracked_] = tracked_.back();
     tracked_.pop_back();
--- a/src/balancer/endpoint_set.h
+++ b/src/balancer/endpoint_set.h
@@ -1,39 +1,18 @@
 // The endpoints that a replica has been notified of, and what it has measured of each.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
+#include <vector>
+
 #include "asterdrift/balancer/balancer.h"
-#include "support/decaying_statistics.h"
+#include "balancer/endpoint_record.h"
 #include "support/named_slots.h"
-#include "support/token_bucket.h"
+#include "support/random.h"
 
 namespace asterdrift::balancer {
 
-constexpr double kResponseRateMemory = 2;  // s; smoothing of the rate at which an endpoint responds
-constexpr double kLatencyMemory = 8;       // s; older responses tell nothing: ejected endpoints are retried
-constexpr double kMostLatencySamples = 4;  // more would hide a change from a replica with much traffic
-constexpr double kLeastTrackedLatency = 0.01;  // of the objective; what faded below makes no outlier
-constexpr std::size_t kMostExamined = 64;      // endpoints examined in one step of a selection
-
-struct SlowStartBudget {
-  support::TokenBucket by_rate, by_responses;
-  double refilled_at = 0;
-  std::uint64_t responses_seen = 0;
-};
-
-struct EndpointRecord {
-  const std::string& name() const { return advertised.address; }
-
-  Endpoint advertised = {};
-  std::uint64_t hash = 0;  // of the address; orders endpoints alike at every replica
-  int in_flight = 0;
-  bool indexed = false, tracked = false, listed = false;  // listed: by the last snapshot or since
-  SlowStartBudget slow_start = {};
-  support::DecayingRate responses{kResponseRateMemory};
-  support::DecayingMean latency{kLatencyMemory, kMostLatencySamples};  // fractions of the latency objective
-  double sent_at_sum = 0;  // send times of the requests in flight, added up
-  double first_seen_at = 0;
-  double rounding_offset = 0;  // of this replica's part of the endpoint's capacity
-};
+constexpr std::size_t kMostExamined = 64;  // endpoints examined in one step of a selection
 
 // Each endpoint has a slot while it is listed or has requests in flight; slots are reused.
 class EndpointSet {
--- /dev/null
+++ b/src/balancer/pending_request.cpp
@@ -0,0 +1,31 @@
+#include "balancer/pending_request.h"
+
+#include <algorithm>
+
+#include "balancer/traffic_statistics.h"
+
+namespace asterdrift::balancer {
+
+bool PendingRequest::any_open() const { return std::ranges::any_of(attempts, &Attempt::is_open); }
+
+bool PendingRequest::may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
+
+bool PendingRequest::was_sent_to(std::uint64_t endpoint_hash) const {
+  return std::ranges::find(attempts, endpoint_hash, &Attempt::endpoint_hash) != attempts.end();
+}
+
+double PendingRequest::retry_cost() const {
+  return !attempts.empty() && attempts.back().connect_failed() ? 0 : 1;
+}
+
+double PendingRequest::dedup_time_left(double now) const {
+  double time_left = kInfinity;
+  if (rules->idempotency != Idempotency::kIdempotencyKey) return time_left;
+  for (std::size_t i = 0; i + 1 < attempts.size(); ++i) {
+    if (!attempts[i].may_have_run()) continue;
+    time_left = std::min(time_left, attempts[i].sent_at() + rules->dedup_window - now);
+  }
+  return time_left;
+}
+
+}  // namespace asterdrift::balancer
--- a/src/balancer/replica_state.h
+++ b/src/balancer/replica_state.h
@@ -1,6 +1,7 @@
 // The state that the decisions of one replica share.
 #pragma once
 
+#include "balancer/endpoint_set.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/subset.h"
 
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -46,7 +46,7 @@
   for (const RequestClass& c : s.classes) validate(c);
   for (const Tenant& t : s.tenants) require_not_negative({{"tenants[].quota", t.quota.value_or(0)}});
   s.classes.emplace_back();
-  s.classes.back().timeout = s.classes.back().latency_objective = kForever;
+  s.classes.back().timeout = s.classes.back().latency_objective = kInfinity;
   s.tenants.emplace_back();
   return s;
 }
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -1,7 +1,6 @@
-// What a replica has measured of its traffic and of its tier as a whole.
+// Statistics of one replica's traffic and of its tier as a whole.
 #pragma once
 
-#include <algorithm>
 #include <cstdint>
 #include <limits>
 
@@ -10,38 +9,31 @@
 
 namespace asterdrift::balancer {
 
-constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kLatencyGain = 0.05;  // weight of one sample in the latency estimates
-constexpr double kAdmittedMemory = 5;  // s; smoothing of the admitted rate that slow start goes by
-constexpr double kTierMemory = 2.5;    // s; smoothing of requests in flight and responses of the whole tier
-constexpr double kLowInFlight = 3;     // requests in flight on average; fewer tell nothing at one moment
-constexpr double kMostIdleLatency = 0.3;  // of the objective; a start under load takes no queue for usual
-// A quicker tier soon becomes the usual; a slower one must not, since queues make it slow too.
-constexpr support::AsymmetricBaseline::Parameters kIdleLatency = {.initial = 0.15,
-                                                                  .most = kMostIdleLatency,
-                                                                  .gain = 0.02,
-                                                                  .least_samples = 20,
-                                                                  .settle_time_s = 3,
-                                                                  .fall_time_s = 5,
-                                                                  .rise_time_s = 60};
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+constexpr double kLatencyGain = 0.05;            // weight of one sample in the latency estimates
+constexpr double kTierTimeConstantS = 2.5;       // of the in-flight level and response rate of the tier
+constexpr double kMaxIdleLatencyFraction = 0.3;  // of the latency objective
 
+// What a replica has measured of the requests that it admits and of the responses to them.
 struct TrafficStatistics {
-  explicit TrafficStatistics(const Settings& settings) {
-    for (const RequestClass& c : settings.classes) objective.add(c.latency_objective, 0);
-    for (const Tenant& t : settings.tenants) quota_rate += t.quota.value_or(0) / settings.replica_count;
-  }
-
-  double request_rate(double now) const { return std::max(quota_rate, admitted.at(now)); }  // per second
-  double idle_seconds() const { return idle_latency.value() * objective.mean; }  // latency without queues
-  bool is_low(double now) const { return request_rate(now) * idle_seconds() < kLowInFlight; }
-
-  double quota_rate = 0;               // requests/s within the tenants' quotas that this replica may expect
-  support::SampledEstimate objective;  // s; latency objective of the requests that come
-  support::SampledEstimate latency;    // of the tier, as a fraction of the objective
-  support::AsymmetricBaseline idle_latency{kIdleLatency};  // the same without queues
-  support::DecayingRate admitted{kAdmittedMemory}, answered{kTierMemory};
-  std::uint64_t responses = 0;
-  support::DecayingLevel in_flight{kTierMemory};
+  // Nothing is measured yet: the objective is averaged over the classes, the quotas are the configured ones.
+  explicit TrafficStatistics(const Settings& settings);
+
+  // Requests per second: the admitted rate, but at least the rate of the quotas.
+  double request_rate(double now) const;
+  // Seconds; the latency of the tier when no requests queue.
+  double idle_latency_s() const;
+  // Whether so few requests are in flight that their number at one moment is not meaningful.
+  bool is_low(double now) const;
+
+  double quota_rate = 0;                     // requests/s; this replica's share of the quotas of all tenants
+  support::SampledEstimate objective;        // s; latency objective of the incoming requests
+  support::SampledEstimate latency;          // of the tier, as a fraction of the objective
+  support::AsymmetricBaseline idle_latency;  // the same without queueing
+  support::DecayingRate admission_rate;
+  support::DecayingRate response_rate;
+  std::uint64_t response_count = 0;
+  support::DecayingLevel in_flight;
 };
 
 }  // namespace asterdrift::balancer
--- a/src/support/decaying_statistics.cpp
+++ b/src/support/decaying_statistics.cpp
@@ -24,11 +24,11 @@
 void AsymmetricBaseline::add(double now, double sample) {
   if (estimate_.samples == 0) updated_at_ = now + parameters_.settle_time_s;
   estimate_.add(sample, parameters_.gain);
-  if (now < updated_at_ || estimate_.samples < parameters_.least_samples) return;
+  if (now < updated_at_ || estimate_.samples < parameters_.min_samples) return;
   if (!is_learned_) value_ = estimate_.mean;
   const bool falls = estimate_.mean < value_;
   const double step = (now - updated_at_) / (falls ? parameters_.fall_time_s : parameters_.rise_time_s);
-  value_ = std::min(value_ + (estimate_.mean - value_) * std::min(1.0, step), parameters_.most);
+  value_ = std::min(value_ + (estimate_.mean - value_) * std::min(1.0, step), parameters_.max);
   is_learned_ = true;
   updated_at_ = now;
 }
--- a/src/support/decaying_statistics.h
+++ b/src/support/decaying_statistics.h
@@ -31,9 +31,9 @@
  public:
   struct Parameters {
     double initial;        // assumed until the baseline is learned
-    double most;           // the baseline never exceeds it
+    double max;            // the baseline never exceeds it
     double gain;           // weight of one sample in the mean
-    double least_samples;  // before the baseline counts as learned
+    double min_samples;    // before the baseline counts as learned
     double settle_time_s;  // from the first sample, before the baseline counts as learned
     double fall_time_s;    // how fast the baseline follows a lower mean
     double rise_time_s;    // and a higher one
