--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -4,97 +4,127 @@
 #include <cmath>
 
 namespace asterdrift::balancer {
-constexpr double kRemotePart = 0.25;        // over the cost: what the power's excess adds to a remote weight
-constexpr double kZoneChance = 2.5;         // of that power; a zone slower by a quarter may be so by chance
-constexpr double kZonePower = 4;            // how strongly the zones' latencies shift that part
-constexpr double kLatencyPower = 2;         // how strongly latency lowers an endpoint's weight
-constexpr double kLeastTierLatency = 0.01;  // of the objective
-constexpr std::size_t kStandInSteps = 4;    // of kMostExamined endpoints outside of the subset
-
-// Where the subset has too few healthy endpoints, others stand in; where none is healthy the cause is shared
-// and health does not count. So that no request holds up others, each step examines some endpoints, and the
-// next step or request those that follow: where one in 50 can be used, one request in 170 misses them all.
+namespace {
+
+constexpr double kMaxZoneSamples = 30;            // more than for one endpoint: a zone's latency is steadier
+constexpr double kRemoteFraction = 0.25;          // over the cost; scales the weight of remote endpoints
+constexpr double kZonePower = 4;                  // how strongly the zones' latencies shift that weight
+constexpr double kMinZoneAdvantage = 2.5;         // of that power; smaller differences may be random
+constexpr double kLatencyPower = 2;               // how strongly latency lowers an endpoint's weight
+constexpr double kMinTierLatencyFraction = 0.01;  // of the objective
+constexpr std::size_t kMaxFallbackSteps = 4;      // of kMostExamined endpoints outside the subset
+
+}  // namespace
+
+EndpointSelection::EndpointSelection(ReplicaState& state, ConcurrencyLimit& concurrency,
+                                     SlowStart& slow_start)
+    : state_(state),
+      concurrency_(concurrency),
+      slow_start_(slow_start),
+      local_latency_(kLatencyTimeConstantS, kMaxZoneSamples),
+      remote_latency_(local_latency_) {}
+
+// A replica with nothing in flight would always select the larger of two, so weight counts in the draw too.
 std::optional<std::size_t> EndpointSelection::select(const PendingRequest& request) {
-  if (!concurrency_.tier_has_capacity()) return std::nullopt;
+  if (!concurrency_.tier_has_capacity() || !find_candidates(request)) return std::nullopt;
+  const auto& [first, first_weight] = candidates_.draw(state_.random);
+  const auto& [second, second_weight] = candidates_.draw(state_.random);
+  const EndpointSet& endpoints = state_.endpoints;
+  const bool second_is_less_busy =
+      endpoints[second].in_flight * first_weight < endpoints[first].in_flight * second_weight;
+  return second_is_less_busy ? second : first;
+}
+
+// Where the subset has too few healthy endpoints, others replace them; where none is healthy the cause is
+// common to all and health is ignored. The number of endpoints examined for one request is limited: each step
+// continues after the previous one, over requests too. Where one endpoint in 50 is usable, one request in 170
+// finds none.
+bool EndpointSelection::find_candidates(const PendingRequest& request) {
   state_.subset.sample(state_.random, examined_);
   bool found =
       collect_candidates(request, Filter::kHealthyAndUntried) && candidates_.size() * 2 >= examined_.size();
   const support::CircularRange others = reachable(request);
-  std::size_t seen = 0;
-  for (std::size_t step = 0; !found && step < kStandInSteps; ++step) {
+  std::size_t examined = 0;
+  for (std::size_t step = 0; !found && step < kMaxFallbackSteps; ++step) {
     state_.subset.sample_next(others, examined_);
     found = collect_candidates(request, Filter::kHealthyAndUntried);
-    if ((seen += examined_.size()) >= others.size) break;
+    examined += examined_.size();
+    if (examined >= others.size) break;
   }
-  if (!found && !collect_candidates(request, Filter::kUntried) && !collect_candidates(request, Filter::kAny))
-    return std::nullopt;
-  // A replica with nothing in flight would always take the larger of two, so weight counts in the draw too.
-  const auto& [first, first_weight] = candidates_.draw(state_.random);
-  const auto& [second, second_weight] = candidates_.draw(state_.random);
-  const EndpointSet& endpoints = state_.endpoints;
-  return endpoints[second].in_flight * first_weight < endpoints[first].in_flight * second_weight ? second
-                                                                                                 : first;
+  return found || collect_candidates(request, Filter::kUntried) || collect_candidates(request, Filter::kAny);
 }
 
-// Whether there is a candidate among the examined endpoints.
+// Collects candidates among the examined endpoints, and returns whether there is one.
 bool EndpointSelection::collect_candidates(const PendingRequest& request, Filter filter) {
   candidates_.clear();
   remote_weight_ = remote_weight();
   for (const std::uint32_t slot : examined_) {
     EndpointRecord& record = state_.endpoints[slot];
-    if (filter == Filter::kHealthyAndUntried && state_.outliers.is_outlier(record, state_.now)) continue;
-    if (!concurrency_.endpoint_has_capacity(record)) continue;
-    if (filter != Filter::kAny && request.was_sent_to(record.hash)) continue;
-    if (!in_dedup_scope(request, record) || !slow_start_.allows(record)) continue;
-    candidates_.add(slot, selection_weight(record));
+    if (is_candidate(request, record, filter)) candidates_.add(slot, selection_weight(record));
   }
   return !candidates_.empty();
 }
 
+// The order of the checks matters: those of capacity and slow start draw random numbers and refill budgets.
+bool EndpointSelection::is_candidate(const PendingRequest& request, EndpointRecord& record, Filter filter) {
+  if (filter == Filter::kHealthyAndUntried && state_.outliers.is_outlier(record, state_.now)) return false;
+  if (!concurrency_.endpoint_has_capacity(record)) return false;
+  if (filter != Filter::kAny && request.was_sent_to(record.hash)) return false;
+  return in_dedup_scope(request, record) && slow_start_.allows(record);
+}
+
+// Whether the endpoint would deduplicate the request against its previous attempts.
 bool EndpointSelection::in_dedup_scope(const PendingRequest& request, const EndpointRecord& record) const {
-  const RequestClass& c = *request.rules;
-  for (const Attempt& a : request.attempts) {
-    if (!a.may_have_run() || c.idempotency == Idempotency::kIdempotent) continue;
-    if (c.idempotency == Idempotency::kNotIdempotent || state_.now > a.sent_at() + c.dedup_window)
-      return false;
-    if (c.dedup_scope == DedupScope::kZone && a.zone() != record.advertised.zone) return false;
-    if (c.dedup_scope == DedupScope::kCell && a.cell() != record.advertised.cell) return false;
+  const RequestClass& rules = *request.rules;
+  if (rules.idempotency == Idempotency::kIdempotent) return true;
+  for (const Attempt& attempt : request.attempts) {
+    if (!attempt.may_have_run()) continue;
+    if (rules.idempotency == Idempotency::kNotIdempotent) return false;
+    if (state_.now > attempt.sent_at() + rules.dedup_window) return false;
+    if (rules.dedup_scope == DedupScope::kZone && attempt.zone() != record.advertised.zone) return false;
+    if (rules.dedup_scope == DedupScope::kCell && attempt.cell() != record.advertised.cell) return false;
   }
   return true;
 }
 
-// All endpoints that may get the next attempt. Where only some drop duplicates of what may have run, random
+// All endpoints that may get the next attempt. Where only some deduplicate the previous attempts, random
 // samples of many endpoints would miss those.
 support::CircularRange EndpointSelection::reachable(const PendingRequest& request) const {
   const EndpointSet& endpoints = state_.endpoints;
-  const RequestClass& c = *request.rules;
-  const bool bound = c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope != DedupScope::kAll;
-  if (!bound || endpoints.ready().size() <= kMostExamined) return endpoints.all();
-  for (const Attempt& a : request.attempts) {
-    if (!a.may_have_run()) continue;
-    return c.dedup_scope == DedupScope::kZone ? endpoints.in_zone(a.zone()) : endpoints.in_cell(a.cell());
-  }
-  return endpoints.all();
+  const RequestClass& rules = *request.rules;
+  const bool is_scoped =
+      rules.idempotency == Idempotency::kIdempotencyKey && rules.dedup_scope != DedupScope::kAll;
+  if (!is_scoped || endpoints.ready().size() <= kMostExamined) return endpoints.all();
+  const auto attempt = std::ranges::find_if(request.attempts, &Attempt::may_have_run);
+  if (attempt == request.attempts.end()) return endpoints.all();
+  return rules.dedup_scope == DedupScope::kZone ? endpoints.in_zone(attempt->zone())
+                                                : endpoints.in_cell(attempt->cell());
+}
+
+bool EndpointSelection::is_remote(const EndpointRecord& record) const {
+  return state_.subset.prefers_own_zone() && record.advertised.zone != state_.settings.zone;
 }
 
-// The weight of a remote endpoint against a local one: it grows as other zones respond more quickly.
+// The weight of a remote endpoint relative to a local one: it grows as other zones respond more quickly.
 double EndpointSelection::remote_weight() const {
-  const auto local = local_latency_.at(state_.now), remote = remote_latency_.at(state_.now);
+  const support::DecayingMean::Sum local = local_latency_.at(state_.now);
+  const support::DecayingMean::Sum remote = remote_latency_.at(state_.now);
   const double idle = state_.traffic.idle_latency.value();
-  const double hoped = idle / std::max(state_.traffic.latency.mean, idle);  // of zones not tried lately
-  const double better = (local.sum + 1) * (remote.weight + 1) / ((remote.sum + hoped) * (local.weight + 1));
-  return kRemotePart * std::max(0.0, std::pow(better, kZonePower) - kZoneChance) /
+  const double expected = idle / std::max(state_.traffic.latency.mean, idle);  // of zones not used lately
+  const double advantage =
+      (local.sum + 1) * (remote.weight + 1) / ((remote.sum + expected) * (local.weight + 1));
+  return kRemoteFraction * std::max(0.0, std::pow(advantage, kZonePower) - kMinZoneAdvantage) /
          state_.settings.cross_zone_cost;
 }
 
-// How much of the traffic an endpoint should get: by its size and how quickly it responds now.
+// The fraction of the traffic that an endpoint should get, up to a factor: by its capacity and its latency.
 double EndpointSelection::selection_weight(const EndpointRecord& record) const {
   return (is_remote(record) ? remote_weight_ : 1) * record.advertised.weight /
          std::pow(state_.outliers.relative_latency(record, state_.now), kLatencyPower);
 }
 
 void EndpointSelection::record_latency(const EndpointRecord& record, double latency) {
-  const double relative = latency / std::max(state_.traffic.latency.mean, kLeastTierLatency);
+  const double relative = latency / std::max(state_.traffic.latency.mean, kMinTierLatencyFraction);
   (is_remote(record) ? remote_latency_ : local_latency_).add(state_.now, std::min(relative, kOutlierLatency));
 }
 
--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -7,20 +7,22 @@
 
 using support::OrderedIndex;
 
-constexpr std::size_t kRebuildPart = 16;  // an update that changes more than a 16th has the indexes rebuilt
+constexpr std::size_t kRebuildDivisor = 16;  // a larger part of the endpoints changed: indexes are rebuilt
+constexpr int kTrackedChecks =
+    2;  // for each endpoint added to the tracked ones, so that they get fewer again
 
-// Another process: what was measured of the last one says nothing. The tokens are random, since replicas hear
-// of a start together and must not send together.
-static EndpointRecord restarted(const EndpointRecord& old, double now, std::uint64_t responses,
+// The record of another process at the same address, without the statistics of the previous one. The tokens
+// are random, since all replicas are notified at the same time and must not send at the same time.
+static EndpointRecord restarted(const EndpointRecord& previous, double now, std::uint64_t responses,
                                 support::Random& random) {
   const double rounding_offset = random.unit();
   const support::TokenBucket tokens(random.unit());
-  return {.hash = old.hash,
-          .in_flight = old.in_flight,
-          .indexed = old.indexed,
-          .tracked = old.tracked,
+  return {.hash = previous.hash,
+          .in_flight = previous.in_flight,
+          .indexed = previous.indexed,
+          .tracked = previous.tracked,
           .slow_start = {tokens, tokens, now, responses},
-          .sent_at_sum = old.sent_at_sum,
+          .sent_at_sum = previous.sent_at_sum,
           .first_seen_at = now,
           .rounding_offset = rounding_offset};
 }
@@ -38,12 +40,13 @@
                         support::Random& random) {
   const auto [slot, is_new] = records_.find_or_add(advertised.address);
   EndpointRecord& record = records_[slot];
-  const Endpoint& old = record.advertised;
+  const Endpoint& previous = record.advertised;
   const bool is_ready = advertised.state == EndpointState::kReady;
-  const bool moved =
-      advertised.weight != old.weight || advertised.zone != old.zone || advertised.cell != old.cell;
-  if (record.indexed && (!is_ready || moved)) set_indexed(slot, false);
-  if (is_new || advertised.started_at != old.started_at) record = restarted(record, now, responses, random);
+  const bool has_moved = advertised.weight != previous.weight || advertised.zone != previous.zone ||
+                         advertised.cell != previous.cell;
+  if (record.indexed && (!is_ready || has_moved)) set_indexed(slot, false);
+  if (is_new || advertised.started_at != previous.started_at)
+    record = restarted(record, now, responses, random);
   record.advertised = advertised;
   record.listed = true;
   if (!(record.advertised.weight > 0)) record.advertised.weight = 1;
@@ -51,7 +54,7 @@
   if (advertised.state == EndpointState::kRemoved) removed_.push_back(slot);
 }
 
-// What a snapshot lacks has been removed.
+// An endpoint that a snapshot does not list has been removed.
 void EndpointSet::mark_removed(std::uint32_t slot) {
   EndpointRecord& record = records_[slot];
   if (record.listed || record.advertised.state == EndpointState::kRemoved) return;
@@ -69,7 +72,7 @@
   if (ready_.size() <= kMostExamined) sum_weights();
 }
 
-// Whether a slot need not be looked at again.
+// Returns whether the slot is released or its endpoint has been listed again.
 bool EndpointSet::release(std::uint32_t slot) {
   EndpointRecord& record = records_[slot];
   if (record.advertised.state != EndpointState::kRemoved) return true;
@@ -83,7 +86,7 @@
 void EndpointSet::track(std::size_t slot, double now) {
   if (!records_[slot].tracked) tracked_.push_back(static_cast<std::uint32_t>(slot));
   records_[slot].tracked = true;
-  for (int i = 0; i < 2; ++i) {  // two are checked for each that is added, so that the list shrinks again
+  for (int check = 0; check < kTrackedChecks; ++check) {
     next_tracked_ = (next_tracked_ + 1) % tracked_.size();
     EndpointRecord& record = records_[tracked_[next_tracked_]];
     if (tracked_[next_tracked_] == slot || record.in_flight > 0) continue;
@@ -94,9 +97,9 @@
   }
 }
 
-// After too many changes by one update the indexes are emptied instead, to be rebuilt at its end.
+// After too many changes by one update the indexes are cleared instead, and rebuilt at its end.
 void EndpointSet::set_indexed(std::uint32_t slot, bool indexed) {
-  if (++index_changes_ > kMostExamined + ready_.size() / kRebuildPart) return clear_indexes();
+  if (++index_changes_ > kMostExamined + ready_.size() / kRebuildDivisor) return clear_indexes();
   EndpointRecord& record = records_[slot];
   const auto change = [&](OrderedIndex& index, std::uint32_t key) {
     indexed ? records_.insert_into(index, key, slot) : records_.erase_from(index, key, slot);
@@ -133,7 +136,7 @@
   by_cell_.assign(std::move(cells));
 }
 
-// In the order of the slots, so that rounding does not depend on past updates.
+// In the order of the slots, so that the rounding of the sum does not depend on previous updates.
 void EndpointSet::sum_weights() {
   std::array<std::uint32_t, kMostExamined> slots;
   std::size_t count = 0;
--- a/src/balancer/endpoint_set.h
+++ b/src/balancer/endpoint_set.h
@@ -1,4 +1,4 @@
-// The endpoints that a replica has been notified of, and what it has measured of each.
+// The endpoints that a replica knows, with indexes by zone and cell.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 namespace asterdrift::balancer {
 
-constexpr std::size_t kMostExamined = 64;  // endpoints examined in one step of a selection
+constexpr std::size_t kMostExamined = 64;  // endpoints, in one step of a selection
 
 // Each endpoint has a slot while it is listed or has requests in flight; slots are reused.
 class EndpointSet {
@@ -20,39 +20,43 @@
   // zone: that of this replica.
   explicit EndpointSet(int zone = 0) : zone_(zone) {}
 
-  std::size_t size() const { return records_.size(); }  // slots
+  // Number of slots, used or not.
+  std::size_t size() const { return records_.size(); }
   EndpointRecord& operator[](std::size_t slot) { return records_[slot]; }
   const EndpointRecord& operator[](std::size_t slot) const { return records_[slot]; }
 
-  // Those that are ready, ordered by hash.
+  // The endpoints that are ready, ordered by hash; all of them, those of other zones than this replica's,
+  // those of one zone, and those of one cell.
   const support::OrderedIndex& ready() const { return ready_; }
   support::CircularRange all() const { return ready_.range(); }
   support::CircularRange other_zones() const { return other_zones_.range(); }
   support::CircularRange in_zone(int zone) const { return by_zone_.range_of(key_of(zone)); }
   support::CircularRange in_cell(int cell) const { return by_cell_.range_of(key_of(cell)); }
+  // Their weights, added up.
   double ready_weight() const { return ready_weight_; }
 
-  // responses: those that this replica has had so far.
+  // Applies an update. responses: the number of responses that this replica has received so far.
   void apply(const EndpointUpdate& update, double now, std::uint64_t responses, support::Random& random);
-  // One endpoint of an update; finish_update() has to follow.
+  // Applies one endpoint of an update; finish_update() has to follow.
   void apply(const Endpoint& advertised, double now, std::uint64_t responses, support::Random& random);
-  // Releases the slots of removed endpoints without requests in flight, and brings the indexes up to date.
+  // Releases the slots of removed endpoints without requests in flight, and completes the indexes.
   void finish_update();
 
-  // A request has been sent to an endpoint or has ended: it may have become an outlier.
+  // Requests in flight of the endpoint, or its latency, have changed: it may have become an outlier.
   void track(std::size_t slot, double now);
 
-  // Outliers are ejected only while others are healthy: where none is, all are sent to again.
+  // Outliers are ejected only while others are healthy: where none is healthy, none is ejected.
   template <class Predicate>
   EndpointSetView view(const Predicate& is_outlier) const {
-    std::size_t outliers = 0;  // none of those that are not tracked
+    std::size_t outliers = 0;  // all of them are tracked
     for (const std::uint32_t slot : tracked_) {
       const EndpointRecord& record = records_[slot];
       if (record.indexed && is_outlier(record)) ++outliers;
     }
     const std::size_t listed = records_.in_use().size() - removed_.size();
     const std::size_t ejected = outliers < ready_.size() ? outliers : 0;
-    return {listed, listed - ready_.size() + ejected, records_.reads()};
+    const std::size_t unavailable = listed - ready_.size() + ejected;
+    return {listed, unavailable, records_.reads()};
   }
 
  private:
@@ -68,11 +72,15 @@
 
   int zone_;
   support::NamedSlots<EndpointRecord> records_;
-  std::vector<std::uint32_t> removed_, tracked_;  // slots
-  std::size_t next_tracked_ = 0;
-  std::size_t index_changes_ = 0;  // by the update that is being applied
-  bool rebuild_ = false;           // it changes so much that the indexes are rebuilt at its end
-  support::OrderedIndex ready_, other_zones_, by_zone_, by_cell_;
+  std::vector<std::uint32_t> removed_;  // slots of removed endpoints that are not released yet
+  std::vector<std::uint32_t> tracked_;  // slots
+  std::size_t next_tracked_ = 0;        // position in tracked_ that is checked next
+  std::size_t index_changes_ = 0;       // by the update that is being applied
+  bool rebuild_ = false;                // it changes so much that the indexes are rebuilt at its end
+  support::OrderedIndex ready_;
+  support::OrderedIndex other_zones_;
+  support::OrderedIndex by_zone_;
+  support::OrderedIndex by_cell_;
   double ready_weight_ = 0;
 };
 
--- a/src/balancer/replica_state.h
+++ b/src/balancer/replica_state.h
@@ -1,17 +1,18 @@
-// The state that the decisions of one replica share.
+// The state that all decisions of one replica share.
 #pragma once
 
 #include "balancer/endpoint_set.h"
 #include "balancer/outlier_detection.h"
+#include "balancer/settings_validation.h"
 #include "balancer/subset.h"
+#include "balancer/traffic_statistics.h"
+#include "support/random.h"
 
 namespace asterdrift::balancer {
 
-// Throws std::invalid_argument, naming the field, when the settings cannot be used. The result ends with one
-// more class and tenant, which stand for those out of range: not idempotent, without an objective or a quota.
-Settings validated(Settings settings);
-
+// The settings, the time, the random numbers, and what has been measured.
 struct ReplicaState {
+  // Throws std::invalid_argument, naming the field, when the settings cannot be used.
   ReplicaState(const Settings& configured, std::uint64_t seed)
       : settings(validated(configured)), random(seed), traffic(configured), endpoints(configured.zone) {}
 
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -12,31 +12,31 @@
 std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count,
                                    std::size_t endpoints, std::size_t size) {
   if (endpoints == 0 || replica_count == 0) return {};
-  std::vector<std::size_t> positions;
   const std::size_t start = subset_start(replica_index, replica_count, endpoints);
+  std::vector<std::size_t> positions;
   for (std::size_t i = 0; i < std::min(size, endpoints); ++i) positions.push_back((start + i) % endpoints);
   return positions;
 }
 
 void Subset::update(const Settings& settings, const EndpointSet& endpoints) {
-  const auto index = static_cast<std::size_t>(settings.replica_index);
-  const auto replicas = static_cast<std::size_t>(settings.replica_count);
+  const auto replica_index = static_cast<std::size_t>(settings.replica_index);
+  const auto replica_count = static_cast<std::size_t>(settings.replica_count);
   const std::size_t ready = endpoints.ready().size();
   const support::CircularRange local = endpoints.in_zone(settings.zone);
-  // A zone must not be overloaded beside an idle one: a like part of the other zones belongs to the subset,
-  // drawn less often for its cost. With one or two local endpoints a replica has nothing to choose from.
+  // The subset includes a proportional part of the other zones, which is used less because of its cost: no
+  // zone is overloaded while another is idle.
   prefers_own_zone_ = settings.cross_zone_cost > 0 && local.size >= kLeastZoneSize;
   ranges_ = prefers_own_zone_ ? std::vector{local, endpoints.other_zones()} : std::vector{endpoints.all()};
-  if (size_ == 0) next_ = subset_start(index, replicas, ready);
+  if (size_ == 0) next_ = subset_start(replica_index, replica_count, ready);
   size_ = 0;
   for (support::CircularRange& range : ranges_) {
-    // A fixed size would leave endpoints without any replica where replicas are few.
-    const std::size_t covering = (kLeastReplicas * range.circumference + replicas - 1) / replicas;
+    // With few replicas a fixed size would leave some endpoints unused.
+    const std::size_t covering = (kLeastReplicas * range.circumference + replica_count - 1) / replica_count;
     range.size = std::min(range.circumference, std::max(kLeastSubset, covering));
-    range.start = subset_start(index, replicas, range.circumference);
+    range.start = subset_start(replica_index, replica_count, range.circumference);
     size_ += range.size;
   }
-  sharing_replicas_ = std::max(1.0, static_cast<double>(replicas * size_) / static_cast<double>(ready));
+  sharing_replicas_ = std::max(1.0, static_cast<double>(replica_count * size_) / static_cast<double>(ready));
   few_.clear();
   for (const support::CircularRange& range : ranges_) range.collect(0, sample_size(range), few_);
 }
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -1,39 +1,46 @@
-// The endpoints that a replica's requests go to as a rule, and which of them are examined for one request.
+// Subsetting: the endpoints that a replica normally sends its requests to.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <vector>
 
 #include "balancer/endpoint_set.h"
 
 namespace asterdrift::balancer {
 
-constexpr std::size_t kLeastSubset = 8;    // endpoints; enough spread, few connections
-constexpr std::size_t kLeastReplicas = 2;  // that use each endpoint: few replicas have large subsets
-constexpr std::size_t kLeastZoneSize = 3;  // endpoints; with fewer its own zone is not preferred
+constexpr std::size_t kLeastSubset = 8;  // endpoints: a compromise of even load and few connections
+constexpr std::size_t kLeastReplicas =
+    2;  // that use each endpoint: where replicas are few, subsets are large
+constexpr std::size_t kLeastZoneSize = 3;  // endpoints: a choice, even when one of them fails
 
+// Distributes the endpoints evenly over the replicas, by consecutive ranges of the endpoints' order.
 class Subset {
  public:
+  // Number of endpoints in the subset.
   std::size_t size() const { return size_; }
-  double sharing_replicas() const { return sharing_replicas_; }  // that use the same endpoint
+  // Number of replicas that use the same endpoint, on average.
+  double sharing_replicas() const { return sharing_replicas_; }
+  // Whether endpoints of other zones are used less than those of the replica's own zone.
   bool prefers_own_zone() const { return prefers_own_zone_; }
 
-  // Chooses the subset anew, after `endpoints` has changed.
+  // Selects the subset again, after `endpoints` has changed.
   void update(const Settings& settings, const EndpointSet& endpoints);
 
-  // Slots of all of a small subset, or of as many of a large one as are examined for a request.
+  // The slots of a small subset, or of the first part of a large one, as many as are examined for a request.
   const std::vector<std::uint32_t>& sample_of_few() const { return few_; }
-  // The same, but of a large subset at random places, in like parts of its own zone and of others.
+  // The same, but a random part of a large subset, in proportion from its own zone and from others.
   void sample(support::Random& random, std::vector<std::uint32_t>& slots) const;
-  // All of a short range; of a long one those that follow the last call's: size / kMostExamined calls see
-  // all.
+  // The slots of a short range, or of the next part of a long one: size / kMostExamined calls cover it.
   void sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots);
 
  private:
   std::size_t sample_size(const support::CircularRange& range) const;
 
-  std::vector<support::CircularRange> ranges_;  // of its own zone and of others, or of all
-  std::vector<std::uint32_t> few_;
-  std::size_t size_ = 0, next_ = 0;
+  std::vector<support::CircularRange> ranges_;  // of its own zone and of others, or of all endpoints
+  std::vector<std::uint32_t> few_;              // slots
+  std::size_t size_ = 0;
+  std::size_t next_ = 0;  // where sample_next() continues
   double sharing_replicas_ = 1;
   bool prefers_own_zone_ = false;
 };
