--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -7,18 +7,18 @@
 #include <string_view>
 #include <utility>
 
-#include "node/base/clock.h"
-#include "node/base/http_response.h"
+#include "node/http/response.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::admin {
 namespace {
 
 namespace asio = boost::asio;
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using asio::ip::tcp;
-using base::now;
 using boost::system::error_code;
+using timing::now;
 
 constexpr std::size_t kMostHeadBytes = 8UL * 1024;
 constexpr std::size_t kMostDiscardedBytes = 64UL * 1024;  // after the response
@@ -46,7 +46,7 @@
 void AdminConnection::close_overdue() {
   error_code ignored;
   if (state_ == State::kReading && has_bytes_)
-    socket_.write_some(asio::buffer(base::kTimeoutResponse), ignored);
+    socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
   close();
 }
 
@@ -98,9 +98,9 @@
   head_bytes_ += used;
   // Beast's own limit does not count complete lines.
   const bool is_too_long = head_bytes_ + input_.size() > kMostHeadBytes;
-  if (is_too_long || error == http::error::header_limit) return respond(431);
+  if (is_too_long || error == beast_http::error::header_limit) return respond(431);
   if (parser_.is_header_done()) return handle_request();
-  if (error && error != http::error::need_more) return respond(400);
+  if (error && error != beast_http::error::need_more) return respond(400);
   wait_readable();
 }
 
@@ -109,7 +109,7 @@
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   if (path != "/ready" && path != "/metrics") return respond(404);
-  if (head.method() != http::verb::get) return respond(405, {}, "Allow: GET\r\n");
+  if (head.method() != beast_http::verb::get) return respond(405, {}, "Allow: GET\r\n");
   if (path == "/ready") return respond(callbacks_.is_ready() ? 200 : 503);
   respond(200, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
 }
@@ -117,7 +117,7 @@
 void AdminConnection::respond(unsigned status, const std::string& body, const std::string& headers) {
   state_ = State::kResponding;
   state_since_ = now();
-  output_ = base::status_line(status).append(headers);
+  output_ = http::status_line(status).append(headers);
   output_ += "Content-Length: " + std::to_string(body.size()) + "\r\nConnection: close\r\n\r\n" + body;
   asio::async_write(socket_, asio::buffer(output_),
                     [self = shared_from_this()](const error_code& error, std::size_t) {
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -4,15 +4,15 @@
 #include <cmath>
 #include <utility>
 
-#include "node/base/clock.h"
 #include "node/discovery/poll_timeouts.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::discovery {
 
-using base::now;
 using boost::system::error_code;
 using telemetry::log_line;
+using timing::now;
 
 DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, const config::NodeConfig& config,
                                  Callbacks callbacks)
@@ -72,7 +72,7 @@
 }
 
 void DiscoveryClient::call_later(double wait, std::function<void()> call) {
-  retry_timer_.expires_after(base::duration_of(wait));
+  retry_timer_.expires_after(timing::duration_of(wait));
   retry_timer_.async_wait([call = std::move(call)](const error_code& error) {
     if (!error) call();
   });
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -3,16 +3,16 @@
 #include <exception>
 #include <utility>
 
-#include "node/base/clock.h"
-#include "node/base/http_status.h"
 #include "node/discovery/poll_timeouts.h"
+#include "node/http/status.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::discovery {
 namespace {
 
-namespace http = boost::beast::http;
-using base::kOk;
+namespace beast_http = boost::beast::http;
 using boost::system::error_code;
+using http::kOk;
 using Kind = WatchError::Kind;
 
 // Bytes of a long list which show that the watch is alive.
@@ -32,16 +32,16 @@
 
 void EndpointWatch::start() {
   const std::string since = options_.since ? "&index=" + std::to_string(*options_.since) : std::string();
-  request_.method(http::verb::get);
+  request_.method(beast_http::verb::get);
   request_.target("/v1/servers?stream=1" + since);
   request_.version(kHttp11);
-  request_.set(http::field::host,
+  request_.set(beast_http::field::host,
                options_.address.address().to_string() + ":" + std::to_string(options_.address.port()));
-  began_ = base::now();
+  began_ = timing::now();
   set_deadline(poll_timeouts::connected_by(options_.is_pushed, began_));
   stream_.async_connect(options_.address, [self = shared_from_this()](const error_code& error) {
     if (error) return self->fail(Kind::kConnect, "connect: " + error.message());
-    self->set_deadline(poll_timeouts::answered_by(self->options_.is_pushed, self->began_, base::now()));
+    self->set_deadline(poll_timeouts::answered_by(self->options_.is_pushed, self->began_, timing::now()));
     self->write_request();
   });
 }
@@ -52,10 +52,11 @@
 }
 
 void EndpointWatch::write_request() {
-  http::async_write(stream_, request_, [self = shared_from_this()](const error_code& error, std::size_t) {
-    if (error) return self->fail(Kind::kWrite, "write: " + error.message());
-    self->read_head();
-  });
+  beast_http::async_write(stream_, request_,
+                          [self = shared_from_this()](const error_code& error, std::size_t) {
+                            if (error) return self->fail(Kind::kWrite, "write: " + error.message());
+                            self->read_head();
+                          });
 }
 
 void EndpointWatch::read_head() {
@@ -63,10 +64,10 @@
     if (error) return self->fail(Kind::kResponse, "response: " + error.message());
     const unsigned status = self->parser_.get().result_int();
     if (status != kOk) return self->fail(Kind::kResponse, "response: status " + std::to_string(status));
-    self->set_deadline(poll_timeouts::first_line_by(self->began_, base::now()));
+    self->set_deadline(poll_timeouts::first_line_by(self->began_, timing::now()));
     self->handle_body();
   };
-  http::async_read_header(stream_, buffer_, parser_, on_head);
+  beast_http::async_read_header(stream_, buffer_, parser_, on_head);
 }
 
 void EndpointWatch::read_body() {
@@ -74,18 +75,18 @@
     if (error) return self->fail(Kind::kStream, "watch: " + error.message());
     self->handle_body();
   };
-  http::async_read_some(stream_, buffer_, parser_, on_bytes);
+  beast_http::async_read_some(stream_, buffer_, parser_, on_bytes);
 }
 
 void EndpointWatch::set_deadline(double time) {
-  stream_.expires_after(base::duration_of(time - base::now()));
+  stream_.expires_after(timing::duration_of(time - timing::now()));
 }
 
 // Without its empty lines for so long a watch that is connected counts as broken. Bytes that make no line and
 // no list do not show that it is alive, unless they are many: a long list takes its time.
 void EndpointWatch::on_alive() {
   unused_bytes_at_alive_ = unused_bytes_;
-  set_deadline(base::now() + poll_timeouts::kSilence);
+  set_deadline(timing::now() + poll_timeouts::kSilence);
 }
 
 // A list that is truncated is dropped with its connection; only complete ones count.
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "asterdrift/balancer/events.h"
-#include "node/base/body_stream.h"
-#include "node/base/memory_budget.h"
+#include "node/memory/body_stream.h"
+#include "node/memory/memory_budget.h"
 #include "node/upstream/attempt.h"
 
 namespace asterdrift::node::dispatch {
@@ -30,9 +30,9 @@
   unsigned status = 500;
   double retry_after = 0;  // s; 0: no header
   std::string body = {}, content_type = {};
-  base::MemoryReservation body_reservation = {};
-  std::shared_ptr<base::BodyStream> streamed_body = {};  // of a streamed response: all of its body
-  std::optional<std::uint64_t> content_length = {};      // of that, where it is known
+  memory::MemoryReservation body_reservation = {};
+  std::shared_ptr<memory::BodyStream> streamed_body = {};  // of a streamed response: all of its body
+  std::optional<std::uint64_t> content_length = {};        // of that, where it is known
 };
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -4,20 +4,20 @@
 #include <utility>
 #include <variant>
 
-#include "node/base/clock.h"
-#include "node/base/http_status.h"
+#include "node/http/status.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::dispatch {
 namespace {
 
 using balancer::Outcome;
-using base::kBadGateway;
-using base::kGatewayTimeout;
-using base::kOk;
-using base::kServiceUnavailable;
-using base::now;
 using boost::system::error_code;
+using http::kBadGateway;
+using http::kGatewayTimeout;
+using http::kOk;
+using http::kServiceUnavailable;
+using timing::now;
 
 // A client counts from when it sent the request until it has the response's last byte; this much of its time
 // is for the ways there and back, and for a busy moment of this process.
@@ -47,7 +47,7 @@
 }  // namespace
 
 RequestDispatcher::RequestDispatcher(boost::asio::io_context& io, const config::NodeConfig& config,
-                                     base::MemoryBudget& body_budget, telemetry::Metrics& metrics,
+                                     memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
                                      std::size_t max_upstream_connections, std::function<void()> watch)
     : io_(io),
       balancer_(config.settings, config.seed),
@@ -61,7 +61,7 @@
   if (!config_.known_endpoints) return;
   apply_endpoints(*config_.known_endpoints);
   const auto timer =
-      std::make_shared<boost::asio::steady_timer>(io_, base::time_point_of(now() + kFirstListTimeout));
+      std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(now() + kFirstListTimeout));
   timer->async_wait([this, timer](const error_code&) { list_is_current_ = true; });
 }
 
@@ -127,7 +127,7 @@
 }
 
 void RequestDispatcher::run(const balancer::SetTimer& action) {
-  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, base::time_point_of(action.at));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(action.at));
   timer->async_wait([this, timer, token = action.token](const error_code& error) {
     if (!error) post(balancer::TimerFired{token});
   });
@@ -186,7 +186,7 @@
 void RequestDispatcher::set_deadline(const std::string& id, InFlightRequest& request) {
   const double limit = request.request.received_at + request.request.timeout;
   const double deadline = limit - transfer_reserve(request.request) * kResponsePart;
-  request.deadline.expires_at(base::time_point_of(deadline));
+  request.deadline.expires_at(timing::time_point_of(deadline));
   request.deadline.async_wait([this, id](const error_code& error) {
     if (!error) expire(id);
   });
--- a/node/dispatch/request_dispatcher.h
+++ b/node/dispatch/request_dispatcher.h
@@ -27,7 +27,7 @@
 
   // watch: called where the balancer asks for a watch on discovery. config has to outlive the dispatcher.
   RequestDispatcher(boost::asio::io_context& io, const config::NodeConfig& config,
-                    base::MemoryBudget& body_budget, telemetry::Metrics& metrics,
+                    memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
                     std::size_t max_upstream_connections, std::function<void()> watch);
 
   void start();
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -6,24 +6,24 @@
 #include <string_view>
 #include <utility>
 
-#include "node/base/clock.h"
-#include "node/base/http_response.h"
-#include "node/base/socket_probe.h"
+#include "node/http/response.h"
+#include "node/net/socket_probe.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::downstream {
 namespace {
 
 namespace asio = boost::asio;
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using asio::ip::tcp;
-using base::now;
 using boost::system::error_code;
+using timing::now;
 
 // Bytes of a next request that are buffered while one is being answered, always and where there is memory to
 // spare.
 constexpr std::size_t kAlwaysPipelined = 8UL * 1024;
-constexpr std::size_t kMostPipelined = RequestParser::kMostHeadBytes + base::kMostBufferedBody;
+constexpr std::size_t kMostPipelined = RequestParser::kMostHeadBytes + memory::kMostBufferedBody;
 constexpr int kStreamSendBuffer = 64 * 1024;  // bytes; what the system holds of a streamed response
 
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -64,7 +64,7 @@
 bool Connection::close_if_idle() {
   if (state_ != State::kIdle && state_ != State::kFresh) return false;
   // Unread bytes are a request that this machine has taken.
-  if (base::has_unread_bytes(socket_.native_handle())) return false;
+  if (net::has_unread_bytes(socket_.native_handle())) return false;
   close();
   return true;
 }
@@ -77,7 +77,7 @@
   if (now() - (has_responded_ ? reader_.began_at() : connected_at_) < limit) return false;
   if (!reader_.is_behind(now())) return false;
   error_code ignored;
-  if (state_ != State::kFresh) socket_.write_some(asio::buffer(base::kTimeoutResponse), ignored);
+  if (state_ != State::kFresh) socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
   close();
   return true;
 }
@@ -118,7 +118,7 @@
   }
 }
 
-bool Connection::has_client_left() { return base::has_peer_left(socket_.native_handle()); }
+bool Connection::has_client_left() { return net::has_peer_left(socket_.native_handle()); }
 
 // ---------------------------------------------------------------- reading
 
@@ -142,7 +142,7 @@
   if (error) return close();
   if (state_ == State::kClosing) {
     discarded_bytes_ += size;
-    return discarded_bytes_ > base::kLargestBody ? close() : wait_readable();
+    return discarded_bytes_ > memory::kLargestBody ? close() : wait_readable();
   }
   if (is_busy(state_) && state_ != State::kUploading) {
     buffer_pipelined(size);
@@ -235,8 +235,8 @@
 }
 
 void Connection::respond_to_health_check() {
-  is_head_request_ = reader_.method() == http::verb::head;
-  const bool is_allowed = is_head_request_ || reader_.method() == http::verb::get;
+  is_head_request_ = reader_.method() == beast_http::verb::head;
+  const bool is_allowed = is_head_request_ || reader_.method() == beast_http::verb::get;
   if (!is_allowed) return respond({.status = kMethodNotAllowed}, false);
   respond({.status = server_.is_ready() ? kOk : kServiceUnavailable}, false);
 }
@@ -244,7 +244,7 @@
 // Hands the request to the dispatcher, with what there is of its body. Whether it goes on. Throws
 // RequestError.
 bool Connection::dispatch(State next) {
-  if (reader_.method() != http::verb::post && reader_.has_body()) {
+  if (reader_.method() != beast_http::verb::post && reader_.has_body()) {
     throw RequestError(kBadRequest, "a body where none belongs");
   }
   server_.check_not_in_flight(reader_.api_request()->client_id);
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -86,7 +86,7 @@
 
   // Bytes that have been read and not parsed: of this request, or pipelined behind it.
   std::string input_;
-  base::MemoryReservation pipelined_reservation_;
+  memory::MemoryReservation pipelined_reservation_;
   bool pipeline_overflow_ = false;  // more have come than can be buffered
   std::size_t discarded_bytes_ = 0;
 
--- a/node/downstream/request_error.h
+++ b/node/downstream/request_error.h
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "node/base/http_status.h"
+#include "node/http/status.h"
 
 namespace asterdrift::node::downstream {
 
@@ -21,14 +21,14 @@
   unsigned status_;
 };
 
-using base::kBadRequest;
-using base::kConflict;
-using base::kHeaderFieldsTooLarge;
-using base::kMethodNotAllowed;
-using base::kNotFound;
-using base::kOk;
-using base::kPayloadTooLarge;
-using base::kServiceUnavailable;
-using base::kUriTooLong;
+using http::kBadRequest;
+using http::kConflict;
+using http::kHeaderFieldsTooLarge;
+using http::kMethodNotAllowed;
+using http::kNotFound;
+using http::kOk;
+using http::kPayloadTooLarge;
+using http::kServiceUnavailable;
+using http::kUriTooLong;
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/request_parser.cpp
+++ b/node/downstream/request_parser.cpp
@@ -2,12 +2,12 @@
 
 #include <boost/asio/buffer.hpp>
 
-#include "node/base/body_stream.h"
+#include "node/memory/body_stream.h"
 
 namespace asterdrift::node::downstream {
 namespace {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 
 constexpr unsigned kHttp11 = 11;
@@ -19,15 +19,15 @@
 }
 
 unsigned status_of(const error_code& error) {
-  if (error == http::error::body_limit) return kPayloadTooLarge;
-  return error == http::error::header_limit ? kHeaderFieldsTooLarge : kBadRequest;
+  if (error == beast_http::error::body_limit) return kPayloadTooLarge;
+  return error == beast_http::error::header_limit ? kHeaderFieldsTooLarge : kBadRequest;
 }
 
 }  // namespace
 
 // Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit, and takes the
 // body for more of the head.
-RequestParser::RequestParser() { parser_.body_limit(base::kLargestBody); }
+RequestParser::RequestParser() { parser_.body_limit(memory::kLargestBody); }
 
 RequestParser::Event RequestParser::parse(std::string_view& bytes) {
   const bool in_head = !parser_.is_header_done();
@@ -38,7 +38,7 @@
   // Beast's own limit does not count complete lines.
   if (in_head) head_bytes_ += used;
   if (head_bytes_ > kMostHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
-  if (error == http::error::need_more) return Event::kNeedsMore;
+  if (error == beast_http::error::need_more) return Event::kNeedsMore;
   if (error) throw RequestError(status_of(error));
   if (in_head && parser_.is_header_done()) return Event::kHead;
   if (used == 0) return Event::kNeedsMore;
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <string_view>
 
-#include "node/base/http_body.h"
 #include "node/downstream/request_error.h"
+#include "node/http/body.h"
 
 namespace asterdrift::node::downstream {
 
@@ -41,7 +41,7 @@
   std::string& body() { return parser_.get().body(); }
 
  private:
-  boost::beast::http::request_parser<base::IncrementalBody> parser_;
+  boost::beast::http::request_parser<http::IncrementalBody> parser_;
   std::size_t head_bytes_ = 0;
 };
 
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -4,15 +4,15 @@
 #include <boost/beast/core/string.hpp>
 #include <utility>
 
-#include "node/base/clock.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::downstream {
 namespace {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 
 // Responses need memory too, so requests leave half of the budget to them.
-std::size_t headroom(const base::MemoryBudget& budget) { return budget.size() / 2; }
+std::size_t headroom(const memory::MemoryBudget& budget) { return budget.size() / 2; }
 
 }  // namespace
 
@@ -33,16 +33,16 @@
   if (parser_->is_done()) return Result::kComplete;
   if (input.size() > RequestParser::kMostHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
   if (!upload_ || !upload_->is_full()) return Result::kNeedsMore;
-  pace_.pause(base::now());
+  pace_.pause(timing::now());
   return Result::kPaused;
 }
 
 void RequestReader::handle_head() {
   const RequestParser::Head& head = parser_->head();
-  pace_.on_head(base::now());
+  pace_.on_head(timing::now());
   client_reads_chunks_ = parser_->client_reads_chunks();
   keeps_connection_ = parser_->keeps_connection();
-  body_reservation_ = base::MemoryReservation(server_.body_budget);
+  body_reservation_ = memory::MemoryReservation(server_.body_budget);
   RequestValidator::check_framing(head);
   if (RequestValidator::path_of(head) == "/api") {
     request_.emplace(server_.validator.read(head));
@@ -50,11 +50,11 @@
     server_.check_not_in_flight(request_->client_id);
   }
   const std::uint64_t length =
-      std::min<std::uint64_t>(parser_->content_length().value_or(0), base::kMostBufferedBody);
+      std::min<std::uint64_t>(parser_->content_length().value_or(0), memory::kMostBufferedBody);
   if (!body_reservation_.grow_to(length, headroom(server_.body_budget))) {
     throw RequestError(kServiceUnavailable, "no memory to spare");
   }
-  if (boost::beast::iequals(head[http::field::expect], "100-continue")) callbacks_.send_continue();
+  if (boost::beast::iequals(head[beast_http::field::expect], "100-continue")) callbacks_.send_continue();
 }
 
 // Bytes of a body. Whether an upload begins.
@@ -67,17 +67,17 @@
     return false;
   }
   pace_.set_body_bytes(body.size());
-  const std::size_t buffered = std::min(body.size(), base::kMostBufferedBody);
+  const std::size_t buffered = std::min(body.size(), memory::kMostBufferedBody);
   if (!body_reservation_.grow_to(buffered, headroom(server_.body_budget))) {
     throw RequestError(kServiceUnavailable);
   }
-  if (body.size() < base::kMostBufferedBody || parser_->is_done()) return false;
+  if (body.size() < memory::kMostBufferedBody || parser_->is_done()) return false;
   begin_upload();
   return true;
 }
 
 void RequestReader::begin_upload() {
-  upload_ = std::make_shared<base::BodyStream>(server_.io, server_.body_budget);
+  upload_ = std::make_shared<memory::BodyStream>(server_.io, server_.body_budget);
   upload_->on_writable(callbacks_.on_upload_resumed);
 }
 
@@ -94,7 +94,7 @@
   if (upload_ && !length) {
     forwarded.head += "Transfer-Encoding: chunked\r\n";
     forwarded.is_chunked = true;
-  } else if (parser_->method() == http::verb::post) {
+  } else if (parser_->method() == beast_http::verb::post) {
     forwarded.head += "Content-Length: " + std::to_string(upload_ ? *length : body.size()) + "\r\n";
   }
   forwarded.body = std::move(body);
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <utility>
 
-#include "node/base/body_stream.h"
-#include "node/base/memory_budget.h"
 #include "node/dispatch/messages.h"
 #include "node/downstream/receive_pace.h"
 #include "node/downstream/request_error.h"
 #include "node/downstream/request_parser.h"
 #include "node/downstream/server_state.h"
+#include "node/memory/body_stream.h"
+#include "node/memory/memory_budget.h"
 
 namespace asterdrift::node::downstream {
 
@@ -84,8 +84,8 @@
   Callbacks callbacks_;
   std::optional<RequestParser> parser_;
   std::optional<dispatch::DownstreamRequest> request_;  // until it is dispatched
-  base::MemoryReservation body_reservation_;
-  std::shared_ptr<base::BodyStream> upload_;  // the rest of the body
+  memory::MemoryReservation body_reservation_;
+  std::shared_ptr<memory::BodyStream> upload_;  // the rest of the body
   ReceivePace pace_;
   bool keeps_connection_ = false, client_reads_chunks_ = false;
   std::optional<std::size_t> request_class_;
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -14,7 +14,7 @@
 namespace asterdrift::node::downstream {
 namespace {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using Head = RequestParser::Head;
 
 constexpr double kLongestTimeout = 600;           // s
@@ -100,16 +100,16 @@
 // "chunked", but takes a length after any other encoding, a list of encodings that ends in "chunked", and the
 // same length twice.
 void RequestValidator::check_framing(const Head& head) {
-  const std::size_t lengths = head.count(http::field::content_length);
-  const std::size_t encodings = head.count(http::field::transfer_encoding);
+  const std::size_t lengths = head.count(beast_http::field::content_length);
+  const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
   if (lengths + encodings > 1) throw RequestError(kBadRequest, "more than one length");
   if (lengths == 1) {
-    const std::string_view length = view(head[http::field::content_length]);
+    const std::string_view length = view(head[beast_http::field::content_length]);
     if (length.empty() || length.size() > kMostLengthDigits || !parse_integer(length)) {
       throw RequestError(kBadRequest, "bad Content-Length");
     }
   }
-  if (encodings == 1 && !boost::beast::iequals(head[http::field::transfer_encoding], "chunked")) {
+  if (encodings == 1 && !boost::beast::iequals(head[beast_http::field::transfer_encoding], "chunked")) {
     throw RequestError(kBadRequest, "unknown Transfer-Encoding");
   }
 }
@@ -147,14 +147,15 @@
 void RequestValidator::check_class(const Head& head, const balancer::RequestClass& request_class) const {
   const bool is_idempotent = request_class.idempotency == balancer::Idempotency::kIdempotent;
   const bool needs_key = request_class.idempotency == balancer::Idempotency::kIdempotencyKey;
-  if (head.method() != (is_idempotent ? http::verb::get : http::verb::post)) {
+  if (head.method() != (is_idempotent ? beast_http::verb::get : beast_http::verb::post)) {
     throw RequestError(kBadRequest, "the method does not belong to the class");
   }
   if (needs_key == head["Idempotency-Key"].empty()) {
     throw RequestError(kBadRequest, "Idempotency-Key does not belong to the class");
   }
-  const std::string_view length = view(head[http::field::content_length]);
-  const bool has_body = head.count(http::field::transfer_encoding) > 0 || (!length.empty() && length != "0");
+  const std::string_view length = view(head[beast_http::field::content_length]);
+  const bool has_body =
+      head.count(beast_http::field::transfer_encoding) > 0 || (!length.empty() && length != "0");
   if (is_idempotent && has_body) throw RequestError(kBadRequest, "a body where none belongs");
 }
 
--- a/node/downstream/response_writer.cpp
+++ b/node/downstream/response_writer.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 #include <utility>
 
-#include "node/base/http_body.h"
-#include "node/base/http_response.h"
+#include "node/http/body.h"
+#include "node/http/response.h"
 
 namespace asterdrift::node::downstream {
 namespace {
@@ -20,7 +20,7 @@
 }
 
 std::string head_of(const dispatch::Response& response, bool close_connection, bool is_chunked) {
-  std::string head = base::status_line(response.status);
+  std::string head = http::status_line(response.status);
   if (is_chunked) {
     head += "Transfer-Encoding: chunked\r\n";
   } else if (!has_unknown_length(response)) {
@@ -62,14 +62,14 @@
   has_body_ = false;
   if (!stream_) return Next::kComplete;
   if (!stream_->is_empty()) {
-    piece_ = is_chunked_ ? base::chunk_of(stream_->read()) : stream_->read();
+    piece_ = is_chunked_ ? http::chunk_of(stream_->read()) : stream_->read();
     return Next::kPiece;
   }
   if (!stream_->is_finished()) return Next::kWait;
   if (!stream_->is_complete()) return Next::kTruncated;
   stream_.reset();
   if (!is_chunked_) return Next::kComplete;
-  piece_ = base::kLastChunk;
+  piece_ = http::kLastChunk;
   return Next::kPiece;
 }
 
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <string>
 
-#include "node/base/body_stream.h"
 #include "node/dispatch/messages.h"
+#include "node/memory/body_stream.h"
 
 namespace asterdrift::node::downstream {
 
@@ -35,7 +35,7 @@
   Next next();
 
   // Of a streamed response until it is complete; else null.
-  const std::shared_ptr<base::BodyStream>& stream() const { return stream_; }
+  const std::shared_ptr<memory::BodyStream>& stream() const { return stream_; }
   // The client has gone: the server's bytes have no reader.
   void abandon();
 
@@ -44,7 +44,7 @@
   dispatch::Response response_;  // its body is written behind the head
   bool has_body_ = false;
   bool is_chunked_ = false;
-  std::shared_ptr<base::BodyStream> stream_;
+  std::shared_ptr<memory::BodyStream> stream_;
 };
 
 // Whether a response's end is told by the end of its connection alone.
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -7,18 +7,18 @@
 #include <string>
 #include <utility>
 
-#include "node/base/clock.h"
 #include "node/downstream/connection.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::downstream {
 namespace {
 
 namespace asio = boost::asio;
 using asio::ip::tcp;
-using base::now;
 using boost::system::error_code;
 using telemetry::log_line;
+using timing::now;
 
 constexpr double kIdleTimeout = 20;  // s without a request
 // s; for a head, from the connection's start if it is its first. A client that sends nothing of use has 3 s.
@@ -68,7 +68,7 @@
 }  // namespace
 
 Server::Server(asio::io_context& io, const config::NodeConfig& config,
-               dispatch::RequestDispatcher& dispatcher, base::MemoryBudget& body_budget,
+               dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
                telemetry::Metrics& metrics, std::size_t max_connections, bool is_shared_address)
     : state_(io, config, dispatcher, body_budget, metrics, max_connections,
              [this] { on_connection_closed(); }),
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -15,7 +15,7 @@
   // Binds the address; one that is shared may be bound by other processes of this node too. Throws
   // boost::system::system_error where it is not available.
   Server(boost::asio::io_context& io, const config::NodeConfig& config,
-         dispatch::RequestDispatcher& dispatcher, base::MemoryBudget& body_budget,
+         dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
          telemetry::Metrics& metrics, std::size_t max_connections, bool is_shared_address);
 
   // Accepts connections from now on. Throws as above.
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <utility>
 
-#include "node/base/memory_budget.h"
 #include "node/dispatch/request_dispatcher.h"
 #include "node/downstream/request_error.h"
 #include "node/downstream/request_validator.h"
+#include "node/memory/memory_budget.h"
 #include "node/telemetry/metrics.h"
 
 namespace asterdrift::node::downstream {
@@ -47,7 +47,7 @@
 
 struct ServerState {
   ServerState(boost::asio::io_context& io, const config::NodeConfig& config,
-              dispatch::RequestDispatcher& dispatcher, base::MemoryBudget& body_budget,
+              dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
               telemetry::Metrics& metrics, std::size_t max_connections, std::function<void()> on_closed)
       : io(io),
         dispatcher(dispatcher),
@@ -70,7 +70,7 @@
 
   boost::asio::io_context& io;
   dispatch::RequestDispatcher& dispatcher;
-  base::MemoryBudget& body_budget;
+  memory::MemoryBudget& body_budget;
   telemetry::Metrics& metrics;
   const RequestValidator validator;
   std::size_t max_connections;
--- a/node/base/http_body.cpp
+++ b/node/http/body.cpp
@@ -1,9 +1,9 @@
-#include "node/base/http_body.h"
+#include "node/http/body.h"
 
 #include <array>
 #include <cstdio>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::http {
 
 std::string chunk_of(const std::string& bytes) {
   std::array<char, 24> size{};
@@ -11,4 +11,4 @@
   return size.data() + bytes + "\r\n";
 }
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::http
--- a/node/base/http_body.h
+++ b/node/http/body.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::http {
 
 // One chunk as HTTP/1.1 frames it, and the end of a chunked body.
 std::string chunk_of(const std::string& bytes);
@@ -44,4 +44,4 @@
   };
 };
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::http
--- a/node/base/http_response.cpp
+++ b/node/http/response.cpp
@@ -1,8 +1,8 @@
-#include "node/base/http_response.h"
+#include "node/http/response.h"
 
 #include <boost/beast/http/message.hpp>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::http {
 
 std::string status_line(unsigned status) {
   const auto reason = boost::beast::http::obsolete_reason(static_cast<boost::beast::http::status>(status));
@@ -10,4 +10,4 @@
   return line.append(reason.data(), reason.size()).append("\r\n");
 }
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::http
--- a/node/base/http_response.h
+++ b/node/http/response.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::http {
 
 // "HTTP/1.1 STATUS REASON" with its end of line.
 std::string status_line(unsigned status);
@@ -13,4 +13,4 @@
 constexpr std::string_view kTimeoutResponse =
     "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::http
--- a/node/base/http_status.h
+++ b/node/http/status.h
@@ -1,7 +1,7 @@
 // The HTTP statuses that the node sends or looks for.
 #pragma once
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::http {
 
 constexpr unsigned kOk = 200;
 constexpr unsigned kBadRequest = 400;
@@ -16,4 +16,4 @@
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::http
--- a/node/base/body_stream.cpp
+++ b/node/memory/body_stream.cpp
@@ -1,9 +1,9 @@
-#include "node/base/body_stream.h"
+#include "node/memory/body_stream.h"
 
 #include <boost/asio/post.hpp>
 #include <utility>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::memory {
 namespace {
 
 constexpr std::size_t kCapacity = 64UL * 1024;       // bytes
@@ -49,4 +49,4 @@
   });
 }
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::memory
--- a/node/base/body_stream.h
+++ b/node/memory/body_stream.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-#include "node/base/memory_budget.h"
+#include "node/memory/memory_budget.h"
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::memory {
 
 // Bodies up to this size are buffered, so that they can be sent again or wait for a retry's response; larger
 // ones are streamed.
@@ -60,4 +60,4 @@
   bool writable_pending_ = false, readable_pending_ = false;
 };
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::memory
--- a/node/base/memory_budget.h
+++ b/node/memory/memory_budget.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::memory {
 
 class MemoryBudget {
  public:
@@ -57,4 +57,4 @@
   std::size_t reserved_ = 0;
 };
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::memory
--- a/node/base/socket_probe.cpp
+++ b/node/net/socket_probe.cpp
@@ -1,11 +1,11 @@
-#include "node/base/socket_probe.h"
+#include "node/net/socket_probe.h"
 
 #include <poll.h>
 #include <sys/socket.h>
 
 #include <cerrno>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::net {
 namespace {
 
 // As recv(): the number of bytes seen, 0 or 1, or -1 with errno.
@@ -29,4 +29,4 @@
 
 bool is_quiet(int socket) { return peek(socket) < 0 && is_empty(errno); }
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::net
--- a/node/base/socket_probe.h
+++ b/node/net/socket_probe.h
@@ -1,7 +1,7 @@
 // What can be seen of a socket without reading from it.
 #pragma once
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::net {
 
 // Whether bytes have arrived that are not read yet.
 bool has_unread_bytes(int socket);
@@ -13,4 +13,4 @@
 // Whether the connection is open and nothing has arrived.
 bool is_quiet(int socket);
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::net
--- a/node/process/main.cpp
+++ b/node/process/main.cpp
@@ -11,10 +11,10 @@
 #include <thread>
 #include <utility>
 
-#include "node/base/clock.h"
 #include "node/config/node_config.h"
 #include "node/process/node.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::process {
 namespace {
@@ -26,12 +26,12 @@
 
 // After a node has been killed, its last process may hold the addresses for a moment longer.
 void start(std::optional<Node>& node, const config::NodeConfig& config) {
-  const double began = base::now();
+  const double began = timing::now();
   for (bool logged = false; !node;) {
     try {
       node.emplace(config);
     } catch (const boost::system::system_error& error) {
-      const bool timed_out = base::now() - began >= kAddressTimeout;
+      const bool timed_out = timing::now() - began >= kAddressTimeout;
       if (error.code() != boost::asio::error::address_in_use || timed_out) throw;
       if (!std::exchange(logged, true)) telemetry::log_line("waiting for addresses in use");
       std::this_thread::sleep_for(kAddressPeriod);
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -6,15 +6,15 @@
 #include <cstdlib>
 #include <exception>
 
-#include "node/base/clock.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::process {
 namespace {
 
-using base::now;
 using boost::system::error_code;
 using telemetry::log_line;
+using timing::now;
 using State = ProcessGroup::State;
 
 constexpr auto kProcessGroupPeriod = std::chrono::milliseconds(100);
--- a/node/process/node.h
+++ b/node/process/node.h
@@ -10,11 +10,11 @@
 #include <string>
 
 #include "node/admin/admin_server.h"
-#include "node/base/memory_budget.h"
 #include "node/config/node_config.h"
 #include "node/discovery/discovery_client.h"
 #include "node/dispatch/request_dispatcher.h"
 #include "node/downstream/server.h"
+#include "node/memory/memory_budget.h"
 #include "node/process/process_group.h"
 #include "node/process/resource_limits.h"
 #include "node/telemetry/metrics.h"
@@ -64,7 +64,7 @@
   const double final_response_time_;  // s after SIGTERM; what is open then is answered
   const bool is_only_replica_;        // of its tier
   discovery::DiscoveryClient discovery_;
-  base::MemoryBudget body_budget_;
+  memory::MemoryBudget body_budget_;
   telemetry::Metrics metrics_;
   dispatch::RequestDispatcher dispatcher_;
   downstream::Server server_;
--- a/node/telemetry/log.cpp
+++ b/node/telemetry/log.cpp
@@ -2,10 +2,10 @@
 
 #include <cstdio>
 
-#include "node/base/clock.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::telemetry {
 
-void log_line(const std::string& text) { std::fprintf(stderr, "%.3f %s\n", base::now(), text.c_str()); }
+void log_line(const std::string& text) { std::fprintf(stderr, "%.3f %s\n", timing::now(), text.c_str()); }
 
 }  // namespace asterdrift::node::telemetry
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "node/base/http_status.h"
+#include "node/http/status.h"
 
 namespace asterdrift::node::telemetry {
 namespace {
 
-using base::kOk;
-using base::kServiceUnavailable;
-using base::kTooManyRequests;
+using http::kOk;
+using http::kServiceUnavailable;
+using http::kTooManyRequests;
 
 std::string line(const std::string& name, std::uint64_t value, char kind) {
   return "app." + name + ":" + std::to_string(value) + "|" + kind + "\n";
--- a/node/base/clock.cpp
+++ b/node/timing/clock.cpp
@@ -1,9 +1,9 @@
-#include "node/base/clock.h"
+#include "node/timing/clock.h"
 
 #include <algorithm>
 #include <cstdint>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::timing {
 namespace {
 
 constexpr double kNanosecondsPerSecond = 1e9;
@@ -32,4 +32,4 @@
           std::chrono::duration<double>(steady_seconds)));
 }
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::timing
--- a/node/base/clock.h
+++ b/node/timing/clock.h
@@ -4,7 +4,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::timing {
 
 // The steady clock in seconds, as the balancer counts time.
 double now();
@@ -18,4 +18,4 @@
 std::chrono::nanoseconds duration_of(double seconds);
 boost::asio::steady_timer::time_point time_point_of(double steady_seconds);
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::timing
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -8,8 +8,8 @@
 #include <string>
 
 #include "asterdrift/balancer/events.h"
-#include "node/base/body_stream.h"
-#include "node/base/memory_budget.h"
+#include "node/memory/body_stream.h"
+#include "node/memory/memory_budget.h"
 
 namespace asterdrift::node::upstream {
 
@@ -17,10 +17,11 @@
 struct UpstreamRequest {
   std::string head;  // request line and headers, without Request-Timeout-Ms and the empty line
   std::string body;  // all of it, or its begin
-  base::MemoryReservation body_reservation;
-  std::shared_ptr<base::BodyStream> body_rest;  // what follows while the client still sends it; null: nothing
-  bool is_chunked = false;                      // the length of the body is not known
-  bool rest_consumed = false;                   // a part of the rest has gone out, and is not buffered
+  memory::MemoryReservation body_reservation;
+  std::shared_ptr<memory::BodyStream>
+      body_rest;               // what follows while the client still sends it; null: nothing
+  bool is_chunked = false;     // the length of the body is not known
+  bool rest_consumed = false;  // a part of the rest has gone out, and is not buffered
   // Asked before bytes go out: whether the client still waits. May end the attempts of the request.
   std::function<bool()> is_wanted;
 };
@@ -29,7 +30,7 @@
 struct AttemptEnd {
   balancer::Outcome outcome = balancer::Outcome::kUnknown;
   std::string body, content_type;  // of a successful response that has not been streamed
-  base::MemoryReservation body_reservation;
+  memory::MemoryReservation body_reservation;
   double sent_at = 0;  // when the request was complete, where its body took the client's time; else 0
 };
 
@@ -37,7 +38,7 @@
 struct StreamedResponse {
   std::string content_type;
   std::optional<std::uint64_t> content_length;
-  std::shared_ptr<base::BodyStream> body;
+  std::shared_ptr<memory::BodyStream> body;
   double sent_at = 0;  // as above
 };
 
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -5,10 +5,10 @@
 #include <exception>
 #include <utility>
 
-#include "node/base/clock.h"
-#include "node/base/http_status.h"
-#include "node/base/socket_probe.h"
+#include "node/http/status.h"
+#include "node/net/socket_probe.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::upstream {
 namespace {
@@ -16,9 +16,9 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using balancer::Outcome;
-using base::kOk;
-using base::now;
 using boost::system::error_code;
+using http::kOk;
+using timing::now;
 
 constexpr double kBufferTime = 0.1;       // s; a response of unknown length is buffered before it is streamed
 constexpr double kStallTimeout = 15;      // s without a byte of a body that is streamed
@@ -49,7 +49,7 @@
   timeout_at_ = began_at_ + timeout;
   write_by_ = began_at_ + write_within;
   parser_.emplace();
-  body_reservation_ = base::MemoryReservation(owner_.body_budget);
+  body_reservation_ = memory::MemoryReservation(owner_.body_budget);
   sent_at_ = buffer_until_ = 0;
   is_blocked_ = false;
 }
@@ -102,7 +102,7 @@
   wait_readable();
 }
 
-bool Connection::is_stale() { return !base::is_quiet(socket_.native_handle()); }
+bool Connection::is_stale() { return !net::is_quiet(socket_.native_handle()); }
 
 // Ends the attempt, if there is one, and with it the connection unless it may be reused.
 void Connection::end(Outcome outcome, bool may_reuse) {
@@ -152,7 +152,7 @@
 }
 
 void Connection::set_timer(double time) {
-  timer_.expires_after(base::duration_of(time - now()));
+  timer_.expires_after(timing::duration_of(time - now()));
   timer_.async_wait([self = shared_from_this(), serial = serial_](const error_code& error) {
     if (error || serial != self->serial_ || !self->callbacks_.on_end) return;
     self->guarded([&] { self->on_timer(); });
@@ -302,7 +302,7 @@
   }
   const auto length = parser_->content_length();
   const bool is_large =
-      body.size() > base::kMostBufferedBody || (length && *length > base::kMostBufferedBody);
+      body.size() > memory::kMostBufferedBody || (length && *length > memory::kMostBufferedBody);
   if (is_large || !body_reservation_.grow_to(body.size())) return start_streaming();
   if (length || buffer_until_ > 0 || parser_->is_done()) return;
   buffer_until_ = now() + kBufferTime;
@@ -312,7 +312,7 @@
 // From here on the response is its client's: its bytes are forwarded as they arrive.
 void Connection::start_streaming() {
   buffer_until_ = 0;
-  response_body_ = std::make_shared<base::BodyStream>(owner_.io, owner_.body_budget);
+  response_body_ = std::make_shared<memory::BodyStream>(owner_.io, owner_.body_budget);
   response_body_->on_writable([self = weak_from_this(), serial = serial_] {
     const auto connection = self.lock();
     if (!connection || serial != connection->serial_ || !connection->response_body_) return;
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string>
 
-#include "node/base/memory_budget.h"
+#include "node/memory/memory_budget.h"
 #include "node/telemetry/metrics.h"
 #include "node/upstream/attempt.h"
 #include "node/upstream/request_writer.h"
@@ -25,7 +25,7 @@
 // What the connections of a pool share, and whom they tell of their changes. Outlives them.
 class ConnectionOwner {
  public:
-  ConnectionOwner(boost::asio::io_context& io, base::MemoryBudget& body_budget, telemetry::Metrics& metrics,
+  ConnectionOwner(boost::asio::io_context& io, memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
                   double connect_timeout)
       : io(io), body_budget(body_budget), metrics(metrics), connect_timeout(connect_timeout) {}
   virtual ~ConnectionOwner() = default;
@@ -41,7 +41,7 @@
   virtual void on_closed() = 0;
 
   boost::asio::io_context& io;
-  base::MemoryBudget& body_budget;
+  memory::MemoryBudget& body_budget;
   telemetry::Metrics& metrics;
   const double connect_timeout;                    // s
   std::array<char, 16UL * 1024> read_buffer = {};  // one for all: the process has one thread
@@ -120,9 +120,9 @@
   AttemptCallbacks callbacks_;
   RequestWriter writer_;
   std::optional<ResponseParser> parser_;
-  base::MemoryReservation body_reservation_;         // for the response's body
-  std::shared_ptr<base::BodyStream> response_body_;  // once it is streamed
-  bool is_blocked_ = false;                          // the server takes no bytes now
+  memory::MemoryReservation body_reservation_;         // for the response's body
+  std::shared_ptr<memory::BodyStream> response_body_;  // once it is streamed
+  bool is_blocked_ = false;                            // the server takes no bytes now
   double began_at_ = 0;
   double idle_time_ = 0;  // s; how long the connection had been idle before
   double timeout_ = 0;    // s
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -2,15 +2,15 @@
 
 #include <utility>
 
-#include "node/base/clock.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::upstream {
 namespace {
 
 using balancer::EndpointState;
 using balancer::Outcome;
-using base::now;
 using boost::system::error_code;
+using timing::now;
 
 constexpr double kAvoidIdleTime = 10;  // s after a stale connection
 constexpr double kIdleTimePart = 0.9;  // of the servers' idle timeout; older connections are not reused
@@ -23,7 +23,7 @@
 }  // namespace
 
 ConnectionPool::ConnectionPool(boost::asio::io_context& io, const config::NodeConfig& config,
-                               base::MemoryBudget& body_budget, telemetry::Metrics& metrics,
+                               memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
                                std::size_t max_connections)
     : ConnectionOwner(io, body_budget, metrics, config.connect_timeout),
       most_idle_time_(config.server_idle_timeout * kIdleTimePart),
@@ -138,7 +138,7 @@
 void ConnectionPool::close_expired() {
   while (!idle_.empty() && now() - idle_.front()->idle_since() >= most_idle_time_) close_oldest_idle();
   const double idle_time = idle_.empty() ? 0 : now() - idle_.front()->idle_since();
-  expiry_timer_.expires_after(base::duration_of(most_idle_time_ - idle_time));
+  expiry_timer_.expires_after(timing::duration_of(most_idle_time_ - idle_time));
   expiry_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
   });
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -20,7 +20,7 @@
 class ConnectionPool : private ConnectionOwner {
  public:
   ConnectionPool(boost::asio::io_context& io, const config::NodeConfig& config,
-                 base::MemoryBudget& body_budget, telemetry::Metrics& metrics, std::size_t max_connections);
+                 memory::MemoryBudget& body_budget, telemetry::Metrics& metrics, std::size_t max_connections);
 
   // Starts an attempt. Its end may come before this returns. The timeout counts from when the request is
   // sent. A request that is not written completely after `write_within` ends as not sent. Both in seconds.
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "node/base/http_body.h"
+#include "node/http/body.h"
 
 namespace asterdrift::node::upstream {
 
@@ -14,7 +14,7 @@
   owned_ += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n\r\n";
   borrowed_ = request_->body;
   if (request_->is_chunked) {  // the begin of the body is its first chunk
-    owned_ += base::chunk_of(request_->body);
+    owned_ += http::chunk_of(request_->body);
     borrowed_ = {};
   }
 }
@@ -33,7 +33,7 @@
 }
 
 RequestWriter::Next RequestWriter::next() {
-  base::BodyStream* const rest = request_->body_rest.get();
+  memory::BodyStream* const rest = request_->body_rest.get();
   if (rest == nullptr || is_last_piece_) {
     std::string().swap(owned_);
     borrowed_ = {};
@@ -46,11 +46,11 @@
   borrowed_ = {};
   written_ = 0;
   if (is_last_piece_) {
-    owned_ = request_->is_chunked ? base::kLastChunk : std::string_view();
+    owned_ = request_->is_chunked ? http::kLastChunk : std::string_view();
     return owned_.empty() ? next() : Next::kPiece;
   }
   request_->rest_consumed = true;
-  owned_ = request_->is_chunked ? base::chunk_of(rest->read()) : rest->read();
+  owned_ = request_->is_chunked ? http::chunk_of(rest->read()) : rest->read();
   return Next::kPiece;
 }
 
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -2,12 +2,12 @@
 
 #include <boost/asio/buffer.hpp>
 
-#include "node/base/body_stream.h"
+#include "node/memory/body_stream.h"
 
 namespace asterdrift::node::upstream {
 namespace {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using balancer::Outcome;
 using boost::system::error_code;
 
@@ -21,7 +21,7 @@
 // Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit.
 void ResponseParser::begin_message() {
   parser_.emplace();
-  parser_->body_limit(base::kLargestBody);
+  parser_->body_limit(memory::kLargestBody);
   head_bytes_ = 0;
 }
 
@@ -41,11 +41,11 @@
     const std::size_t used = parser_->put(rest, error);
     from += used;
     if (in_head) head_bytes_ += used;
-    if (error && error != http::error::need_more) return Result::kInvalid;
+    if (error && error != beast_http::error::need_more) return Result::kInvalid;
     if (head_bytes_ > kMostHeadBytes) return Result::kInvalid;
     if (in_head && parser_->is_header_done() && !has_sound_head()) return Result::kInvalid;
     if (parser_->is_header_done() && !is_interim()) on_body();
-    if (error == http::error::need_more) break;
+    if (error == beast_http::error::need_more) break;
     if (parser_->is_done() && is_interim()) {
       if (++interim_responses_ > kMostInterimResponses) return Result::kInvalid;
       begin_message();
@@ -65,7 +65,7 @@
 }
 
 std::string ResponseParser::content_type() const {
-  return std::string(parser_->get()[http::field::content_type]);
+  return std::string(parser_->get()[beast_http::field::content_type]);
 }
 
 std::optional<std::uint64_t> ResponseParser::content_length() const {
@@ -81,9 +81,9 @@
 // Whether a head leaves no doubt where its response ends.
 bool ResponseParser::has_sound_head() const {
   const auto& head = parser_->get();
-  const std::size_t encodings = head.count(http::field::transfer_encoding);
-  if (head.count(http::field::content_length) + encodings > 1) return false;
-  return encodings == 0 || boost::beast::iequals(head[http::field::transfer_encoding], "chunked");
+  const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
+  if (head.count(beast_http::field::content_length) + encodings > 1) return false;
+  return encodings == 0 || boost::beast::iequals(head[beast_http::field::transfer_encoding], "chunked");
 }
 
 // Only the two statuses with the server's word for it prove that a request never ran.
--- a/node/upstream/response_parser.h
+++ b/node/upstream/response_parser.h
@@ -10,7 +10,7 @@
 #include <string_view>
 
 #include "asterdrift/balancer/events.h"
-#include "node/base/http_body.h"
+#include "node/http/body.h"
 
 namespace asterdrift::node::upstream {
 
@@ -47,7 +47,7 @@
   Result parse_unparsed(const std::function<void()>& on_body);
 
   std::string unparsed_;
-  std::optional<boost::beast::http::response_parser<base::IncrementalBody>> parser_;
+  std::optional<boost::beast::http::response_parser<http::IncrementalBody>> parser_;
   std::size_t head_bytes_ = 0;
   int interim_responses_ = 0;
 };
--- a/scale/hollow_node.cpp
+++ b/scale/hollow_node.cpp
@@ -41,7 +41,7 @@
 
 void HollowNode::post(const balancer::Event& event) {
   std::vector<balancer::Action> actions;
-  balancer_.handle(node::base::now(), event, actions);
+  balancer_.handle(node::timing::now(), event, actions);
   for (const balancer::Action& action : actions) {
     if (std::holds_alternative<balancer::WatchEndpoints>(action)) {
       counts_.watches += 1;
@@ -49,7 +49,7 @@
     } else if (const auto* timer = std::get_if<balancer::SetTimer>(&action)) {
       const auto wait = std::make_shared<boost::asio::steady_timer>(io_);
       wait->expires_after(std::chrono::nanoseconds(
-          static_cast<std::int64_t>(std::max(0.0, timer->at - node::base::now()) * 1e9)));
+          static_cast<std::int64_t>(std::max(0.0, timer->at - node::timing::now()) * 1e9)));
       wait->async_wait([this, wait, token = timer->token](const boost::system::error_code& error) {
         if (!error) post(balancer::TimerFired{token});
       });
--- a/scale/hollow_node.h
+++ b/scale/hollow_node.h
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "asterdrift/balancer/balancer.h"
-#include "node/base/clock.h"
 #include "node/config/node_config.h"
 #include "node/discovery/discovery_client.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::scale {
 
@@ -29,7 +29,7 @@
   void start();
   const Counts& counts() const { return counts_; }
   std::uint64_t seq() const { return seq_; }  // of the last list
-  bool knows_servers() const { return balancer_.endpoints(node::base::now()).listed > 0; }
+  bool knows_servers() const { return balancer_.endpoints(node::timing::now()).listed > 0; }
 
   // One call, answered at once. Returns the server of its first attempt; empty where it was refused.
   std::string call();
--- a/scale/stand_in_discovery.cpp
+++ b/scale/stand_in_discovery.cpp
@@ -8,8 +8,8 @@
 #include <cstdio>
 #include <utility>
 
-#include "node/base/clock.h"
 #include "node/config/node_config.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -103,7 +103,7 @@
 
   void take(const std::string& head) {
     owner_.counts_.requests += 1;
-    if (owner_.asked_at_.size() < kMostTimes) owner_.asked_at_.push_back(node::base::now());
+    if (owner_.asked_at_.size() < kMostTimes) owner_.asked_at_.push_back(node::timing::now());
     const std::string target = head.substr(0, head.find("\r\n"));
     if (owner_.mode_ == Mode::kHang) return;
     if (owner_.mode_ == Mode::kUnavailable) {
