--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -1,6 +1,7 @@
 #include "node/dispatch/request_dispatcher.h"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 #include <variant>
 
@@ -95,13 +96,14 @@
 void RequestDispatcher::run(const balancer::SendAttempt& action) {
   const std::shared_ptr<InFlightRequest> request = find(action.id);
   if (request == nullptr) return;
-  const int attempt = static_cast<int>(request->attempts.size());
+  const RequestId id = *parse_request_id(action.id);
+  const auto attempt = static_cast<AttemptNumber>(request->attempts.size());
   request->attempts.push_back({{}, now(), true, true});
   if (!may_send_last_attempt(*request)) {
-    return handle_attempt_end(action.id, attempt, {Outcome::kNotSent, {}, {}, {}, 0});
+    return handle_attempt_end(id, attempt, {Outcome::kNotSent, {}, {}, {}, 0});
   }
   upstream::AttemptHandle handle = pool_.start(action.endpoint, request->request.forwarded, action.timeout,
-                                               action.write_within, attempt_callbacks(action.id, attempt));
+                                               action.write_within, attempt_callbacks(id, attempt));
   request->attempts[static_cast<std::size_t>(attempt)].handle = std::move(handle);
 }
 
@@ -139,51 +141,48 @@
 
 // ---------------------------------------------------------------- requests
 
-std::uint64_t RequestDispatcher::dispatch(DownstreamRequest request, ResponseCallback on_response) {
-  const std::uint64_t number = ++last_id_;  // not the client's id, which may come twice
-  const std::string id = std::to_string(number);
+RequestId RequestDispatcher::dispatch(DownstreamRequest request, ResponseCallback on_response) {
+  const RequestId id{++last_id_};
   const double limit = request.received_at + request.timeout;
-  request.facts.id = id;
+  request.facts.id = to_text(id);
   request.facts.body_arriving = request.forwarded->body_rest != nullptr;
   request.facts.time_left = limit - transfer_reserve(request) - now();
   client_ids_.insert(request.client_id);
-  request.forwarded->is_wanted = [this, number] { return is_wanted(number); };
+  request.forwarded->is_wanted = [this, id] { return is_wanted(id); };
   const auto in_flight = std::make_shared<InFlightRequest>(io_, std::move(request), std::move(on_response));
   requests_[id] = in_flight;
   if (!in_flight->request.forwarded->body_rest) set_deadline(id, *in_flight);
   post(in_flight->request.facts);
-  return number;
+  return id;
 }
 
-void RequestDispatcher::body_received(std::uint64_t number) {
-  const std::string id = std::to_string(number);
+void RequestDispatcher::body_received(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = find(id);
   if (request == nullptr || !request->on_response) return;
   request->request.received_at = now();
   set_deadline(id, *request);
 }
 
-void RequestDispatcher::client_disconnected(std::uint64_t number) {
-  const std::string id = std::to_string(number);
+void RequestDispatcher::client_disconnected(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = find(id);
   if (request == nullptr || !request->on_response) return;
   close(*request);
-  post(balancer::RequestAborted{id});
+  post(balancer::RequestAborted{to_text(id)});
   forget_if_done(id);
 }
 
 // Whether a request is open and its client still there. Asked before anything goes out: in a busy moment what
 // lets an attempt begin may be noticed long before the client's end is, which came sooner.
-bool RequestDispatcher::is_wanted(std::uint64_t number) {
-  const std::shared_ptr<InFlightRequest> request = find(std::to_string(number));
+bool RequestDispatcher::is_wanted(RequestId id) {
+  const std::shared_ptr<InFlightRequest> request = find(id);
   if (request == nullptr || !request->on_response) return false;
   const auto& has_client_left = request->request.has_client_left;
   if (!has_client_left || !has_client_left()) return true;
-  client_disconnected(number);
+  client_disconnected(id);
   return false;
 }
 
-void RequestDispatcher::set_deadline(const std::string& id, InFlightRequest& request) {
+void RequestDispatcher::set_deadline(RequestId id, InFlightRequest& request) {
   const double limit = request.request.received_at + request.request.timeout;
   const double deadline = limit - transfer_reserve(request.request) * kResponsePart;
   request.deadline.expires_at(timing::time_point_of(deadline));
@@ -193,31 +192,37 @@
 }
 
 // The client gets a final response also where the balancer has not ended the request in time.
-void RequestDispatcher::expire(const std::string& id) {
+void RequestDispatcher::expire(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = find(id);
   if (request == nullptr || !request->on_response) return;
   const ResponseCallback on_response = close(*request);
   const bool may_have_run = std::ranges::any_of(request->attempts, &Attempt::may_have_run);
   on_response(may_have_run ? Response{.status = kGatewayTimeout} : rejection());
-  post(balancer::RequestAborted{id});
+  post(balancer::RequestAborted{to_text(id)});
   forget_if_done(id);
 }
 
 void RequestDispatcher::expire_all() {
-  std::vector<std::string> ids;
+  std::vector<RequestId> ids;
   for (const auto& [id, request] : requests_) ids.push_back(id);
-  for (const std::string& id : ids) expire(id);
+  for (const RequestId id : ids) expire(id);
 }
 
 Response RequestDispatcher::rejection() const {
   return {.status = kServiceUnavailable, .retry_after = config_.settings.max_retry_after / 2};
 }
 
-std::shared_ptr<RequestDispatcher::InFlightRequest> RequestDispatcher::find(const std::string& id) const {
+std::shared_ptr<RequestDispatcher::InFlightRequest> RequestDispatcher::find(RequestId id) const {
   const auto it = requests_.find(id);
   return it == requests_.end() ? nullptr : it->second;
 }
 
+std::shared_ptr<RequestDispatcher::InFlightRequest> RequestDispatcher::find(
+    const std::string& id_text) const {
+  const std::optional<RequestId> id = parse_request_id(id_text);
+  return id ? find(*id) : nullptr;
+}
+
 // The only way to a request's end. Attempts that are not with a server by now stay here: not to send one is
 // no cancellation, and needs no permission.
 RequestDispatcher::ResponseCallback RequestDispatcher::close(InFlightRequest& request) {
@@ -237,7 +242,11 @@
   on_response(std::move(response));
 }
 
-void RequestDispatcher::forget_if_done(const std::string& id) {
+void RequestDispatcher::forget_if_done(const std::string& id_text) {
+  if (const std::optional<RequestId> id = parse_request_id(id_text)) forget_if_done(*id);
+}
+
+void RequestDispatcher::forget_if_done(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second->on_response) return;
   if (std::ranges::any_of(it->second->attempts, &Attempt::open)) return;
@@ -257,7 +266,7 @@
   return forwarded.is_wanted() && !forwarded.rest_consumed && !(forwarded.body_rest && another_is_out);
 }
 
-upstream::AttemptCallbacks RequestDispatcher::attempt_callbacks(const std::string& id, int attempt) {
+upstream::AttemptCallbacks RequestDispatcher::attempt_callbacks(RequestId id, AttemptNumber attempt) {
   upstream::AttemptCallbacks callbacks;
   callbacks.on_end = [this, id, attempt](upstream::AttemptEnd&& end) {
     handle_attempt_end(id, attempt, std::move(end));
@@ -265,12 +274,12 @@
   callbacks.on_response_started = [this, id, attempt](upstream::StreamedResponse&& response) {
     handle_response_started(id, attempt, std::move(response));
   };
-  callbacks.on_body_consumed = [this, id] { post(balancer::RequestBodyConsumed{id}); };
-  callbacks.on_request_sent = [this, id, attempt] { post(balancer::RequestBodySent{id, attempt}); };
+  callbacks.on_body_consumed = [this, id] { post(balancer::RequestBodyConsumed{to_text(id)}); };
+  callbacks.on_request_sent = [this, id, attempt] { post(balancer::RequestBodySent{to_text(id), attempt}); };
   return callbacks;
 }
 
-void RequestDispatcher::handle_attempt_end(const std::string& id, int number, upstream::AttemptEnd&& end) {
+void RequestDispatcher::handle_attempt_end(RequestId id, AttemptNumber number, upstream::AttemptEnd&& end) {
   const std::shared_ptr<InFlightRequest> request = find(id);
   if (request == nullptr) return;
   Attempt& attempt = request->attempts[static_cast<std::size_t>(number)];
@@ -283,10 +292,10 @@
                        .content_type = std::move(end.content_type),
                        .body_reservation = std::move(end.body_reservation)});
   }
-  post(balancer::AttemptResult{id, number, end.outcome, now() - sent_at, !request->on_response});
+  post(balancer::AttemptResult{to_text(id), number, end.outcome, now() - sent_at, !request->on_response});
 }
 
-void RequestDispatcher::handle_response_started(const std::string& id, int number,
+void RequestDispatcher::handle_response_started(RequestId id, AttemptNumber number,
                                                 upstream::StreamedResponse&& response) {
   const std::shared_ptr<InFlightRequest> request = find(id);
   if (request == nullptr || !request->on_response) return response.body->abandon();
@@ -296,7 +305,7 @@
                      .content_type = std::move(response.content_type),
                      .streamed_body = std::move(response.body),
                      .content_length = response.content_length});
-  post(balancer::ResponseStarted{id, number, now() - sent_at});
+  post(balancer::ResponseStarted{to_text(id), number, now() - sent_at});
 }
 
 // ---------------------------------------------------------------- endpoints
--- a/node/dispatch/request_dispatcher.h
+++ b/node/dispatch/request_dispatcher.h
@@ -3,7 +3,6 @@
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
@@ -15,6 +14,7 @@
 #include "asterdrift/balancer/balancer.h"
 #include "node/config/node_config.h"
 #include "node/dispatch/messages.h"
+#include "node/dispatch/request_id.h"
 #include "node/upstream/connection_pool.h"
 
 namespace asterdrift::node::dispatch {
@@ -34,15 +34,15 @@
 
   // Takes a request. on_response is called exactly once, perhaps before this returns, unless the client
   // disconnects first. Where the rest of the body is still arriving, the request's time counts from
-  // body_received(). Returns a number that identifies the request.
-  std::uint64_t dispatch(DownstreamRequest request, ResponseCallback on_response);
-  void body_received(std::uint64_t request);
+  // body_received().
+  RequestId dispatch(DownstreamRequest request, ResponseCallback on_response);
+  void body_received(RequestId id);
 
   // Whether a request with this client's id is in flight, or has attempts out.
   bool is_in_flight(const std::string& client_id) const { return client_ids_.contains(client_id); }
 
   // The client has disconnected: no response is owed any more.
-  void client_disconnected(std::uint64_t request);
+  void client_disconnected(RequestId id);
 
   // Answers all open requests, as for a deadline that has passed.
   void expire_all();
@@ -91,31 +91,33 @@
   void apply_endpoints(const config::EndpointList& list);
 
   // Requests.
-  std::shared_ptr<InFlightRequest> find(const std::string& id) const;
-  bool is_wanted(std::uint64_t request);
-  void set_deadline(const std::string& id, InFlightRequest& request);
-  void expire(const std::string& id);
+  std::shared_ptr<InFlightRequest> find(RequestId id) const;
+  std::shared_ptr<InFlightRequest> find(const std::string& id_text) const;
+  bool is_wanted(RequestId id);
+  void set_deadline(RequestId id, InFlightRequest& request);
+  void expire(RequestId id);
   ResponseCallback close(InFlightRequest& request);
   void respond(InFlightRequest& request, Response&& response);
-  void forget_if_done(const std::string& id);
+  void forget_if_done(RequestId id);
+  void forget_if_done(const std::string& id_text);
 
   // Attempts.
   static bool may_send_last_attempt(const InFlightRequest& request);
-  upstream::AttemptCallbacks attempt_callbacks(const std::string& id, int attempt);
-  void handle_attempt_end(const std::string& id, int attempt, upstream::AttemptEnd&& end);
-  void handle_response_started(const std::string& id, int attempt, upstream::StreamedResponse&& response);
+  upstream::AttemptCallbacks attempt_callbacks(RequestId id, AttemptNumber attempt);
+  void handle_attempt_end(RequestId id, AttemptNumber attempt, upstream::AttemptEnd&& end);
+  void handle_response_started(RequestId id, AttemptNumber attempt, upstream::StreamedResponse&& response);
 
   boost::asio::io_context& io_;
   balancer::Balancer balancer_;
   upstream::ConnectionPool pool_;
   const std::function<void()> watch_;
   const config::NodeConfig& config_;
-  std::unordered_map<std::string, std::shared_ptr<InFlightRequest>> requests_;
+  std::unordered_map<RequestId, std::shared_ptr<InFlightRequest>> requests_;
   std::unordered_set<std::string> client_ids_;  // of all requests_
   std::deque<balancer::Event> events_;
   std::vector<balancer::Action> actions_;
   bool is_handling_events_ = false;
-  std::uint64_t last_id_ = 0;
+  std::uint64_t last_id_ = 0;  // of RequestId
   bool list_is_current_ = false, has_endpoints_ = false;
 };
 
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -56,7 +56,7 @@
   reader_.release();
   if (is_dispatched_) count_response(0);  // a client that has gone had no complete response
   writer_.abandon();
-  if (is_open_request) server_.dispatcher.client_disconnected(request_number_);
+  if (is_open_request) withdraw_request();
   --server_.connections;
   server_.on_connection_closed();
 }
@@ -222,7 +222,7 @@
   if (has_client_left()) return close();
   reader_.finish_upload();
   enter(State::kWaiting);
-  server_.dispatcher.body_received(request_number_);
+  server_.dispatcher.body_received(*request_id_);
   wait_readable();
 }
 
@@ -264,18 +264,23 @@
   enter(next);
   ++server_.pending_requests;
   is_dispatched_ = true;
-  request_number_ = 0;
+  request_id_.reset();
   wait_readable();
   is_dispatching_ = true;
-  const std::uint64_t number = server_.dispatcher.dispatch(
+  const dispatch::RequestId id = server_.dispatcher.dispatch(
       std::move(request), [self = shared_from_this()](dispatch::Response&& response) {
         self->handle_response(std::move(response));
       });
   is_dispatching_ = false;
-  request_number_ = number;
+  request_id_ = id;
   return state_ == next;
 }
 
+// The client awaits no response any more.
+void Connection::withdraw_request() {
+  if (request_id_) server_.dispatcher.client_disconnected(*request_id_);
+}
+
 void Connection::handle_response(dispatch::Response&& response) {
   if (state_ != State::kWaiting && state_ != State::kUploading) {
     if (response.streamed_body) response.streamed_body->abandon();
@@ -287,7 +292,7 @@
 void Connection::reject(const RequestError& error) {
   dispatch::Response response{.status = error.status()};
   if (error.status() == kServiceUnavailable) response = server_.dispatcher.rejection();
-  if (state_ == State::kUploading) server_.dispatcher.client_disconnected(request_number_);
+  if (state_ == State::kUploading) withdraw_request();
   const std::string message = error.what();
   if (!message.empty()) {
     response.body = message + "\n";
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -2,10 +2,11 @@
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
-#include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
 
+#include "node/dispatch/request_id.h"
 #include "node/downstream/request_error.h"
 #include "node/downstream/request_reader.h"
 #include "node/downstream/response_writer.h"
@@ -61,6 +62,7 @@
   void handle_request();
   void respond_to_health_check();
   bool dispatch(State next);
+  void withdraw_request();
   void handle_response(dispatch::Response&& response);
   void reject(const RequestError& error);
   void count_response(unsigned status);
@@ -93,9 +95,9 @@
   RequestReader reader_;  // of the request that is being read
 
   // Of the request that is being handled.
-  std::uint64_t request_number_ = 0;  // the dispatcher's
-  bool is_dispatched_ = false;        // the dispatcher has it, or its response is being written
-  bool is_dispatching_ = false;       // its client's end has just been looked for
+  std::optional<dispatch::RequestId> request_id_;  // once the dispatcher has taken it
+  bool is_dispatched_ = false;                     // the dispatcher has it, or its response is being written
+  bool is_dispatching_ = false;                    // its client's end has just been looked for
   bool is_head_request_ = false;
 
   // Of the response that is being written.
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -51,10 +51,13 @@
 
 class Connection;
 
-// Identifies an attempt. The connection carries other attempts later, with other serial numbers.
+// Distinguishes the attempts of a connection pool. 0: none.
+enum class AttemptSerial : std::uint64_t {};
+
+// Identifies an attempt. Its connection may carry other attempts later.
 struct AttemptHandle {
   std::weak_ptr<Connection> connection;
-  std::uint64_t serial = 0;
+  AttemptSerial serial{};
 };
 
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -38,7 +38,7 @@
   if (state_ != State::kClosed) owner_.on_closed();
 }
 
-void Connection::begin(std::uint64_t serial, std::shared_ptr<UpstreamRequest> request, double timeout,
+void Connection::begin(AttemptSerial serial, std::shared_ptr<UpstreamRequest> request, double timeout,
                        double write_within, AttemptCallbacks callbacks) {
   serial_ = serial;
   request_ = std::move(request);
@@ -87,11 +87,11 @@
   write();
 }
 
-void Connection::stop(std::uint64_t serial, Outcome outcome) {
+void Connection::stop(AttemptSerial serial, Outcome outcome) {
   if (serial == serial_ && callbacks_.on_end) end(outcome, false);
 }
 
-void Connection::withdraw(std::uint64_t serial) {
+void Connection::withdraw(AttemptSerial serial) {
   const bool is_sending = state_ == State::kWriting && !response_body_;
   if (state_ == State::kConnecting || is_sending) stop(serial, Outcome::kNotSent);
 }
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -59,15 +59,15 @@
 
   // Takes an attempt; connect() or start_writing() has to follow. The timeout counts from when the request is
   // sent. A request that is not written completely after `write_within` ends as not sent. Both in seconds.
-  void begin(std::uint64_t serial, std::shared_ptr<UpstreamRequest> request, double timeout,
+  void begin(AttemptSerial serial, std::shared_ptr<UpstreamRequest> request, double timeout,
              double write_within, AttemptCallbacks callbacks);
   void connect(const boost::asio::ip::tcp::endpoint& address);
   void start_writing();
 
   // Ends an attempt unless it has ended.
-  void stop(std::uint64_t serial, balancer::Outcome outcome);
+  void stop(AttemptSerial serial, balancer::Outcome outcome);
   // Ends an attempt as not sent unless it has been written completely, or is being answered.
-  void withdraw(std::uint64_t serial);
+  void withdraw(AttemptSerial serial);
 
   AttemptHandle handle() { return {weak_from_this(), serial_}; }
   const std::string& endpoint() const { return endpoint_; }
@@ -115,7 +115,7 @@
   double idle_since_ = 0;
 
   // Of the current attempt. Times on the steady clock.
-  std::uint64_t serial_ = 0;
+  AttemptSerial serial_{};
   std::shared_ptr<UpstreamRequest> request_;
   AttemptCallbacks callbacks_;
   RequestWriter writer_;
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -44,7 +44,7 @@
     callbacks.on_end({Outcome::kNotSent, {}, {}, {}, 0});
     return {};
   }
-  const std::uint64_t serial = ++last_serial_;
+  const AttemptSerial serial{++last_serial_};
   if (const std::shared_ptr<Connection> idle = take_idle(*known)) {
     idle->begin(serial, std::move(request), timeout, write_within, std::move(callbacks));
     idle->start_writing();
