--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -11,7 +11,7 @@
 #include <optional>
 #include <string>
 
-#include "node/base/memory_budget.h"
+#include "node/memory/memory_budget.h"
 #include "node/telemetry/metrics.h"
 #include "node/upstream/attempt.h"
 #include "node/upstream/request_writer.h"
@@ -25,7 +25,7 @@
 // What the connections of a pool share, and whom they tell of their changes. Outlives them.
 class ConnectionOwner {
  public:
-  ConnectionOwner(boost::asio::io_context& io, base::MemoryBudget& body_budget, telemetry::Metrics& metrics,
+  ConnectionOwner(boost::asio::io_context& io, memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
                   double connect_timeout)
       : io(io), body_budget(body_budget), metrics(metrics), connect_timeout(connect_timeout) {}
   virtual ~ConnectionOwner() = default;
@@ -41,7 +41,7 @@
   virtual void on_closed() = 0;
 
   boost::asio::io_context& io;
-  base::MemoryBudget& body_budget;
+  memory::MemoryBudget& body_budget;
   telemetry::Metrics& metrics;
   const double connect_timeout;                    // s
   std::array<char, 16UL * 1024> read_buffer = {};  // one for all: the process has one thread
@@ -59,15 +59,15 @@
 
   // Takes an attempt; connect() or start_writing() has to follow. The timeout counts from when the request is
   // sent. A request that is not written completely after `write_within` ends as not sent. Both in seconds.
-  void begin(std::uint64_t serial, std::shared_ptr<UpstreamRequest> request, double timeout,
+  void begin(AttemptSerial serial, std::shared_ptr<UpstreamRequest> request, double timeout,
              double write_within, AttemptCallbacks callbacks);
   void connect(const boost::asio::ip::tcp::endpoint& address);
   void start_writing();
 
   // Ends an attempt unless it has ended.
-  void stop(std::uint64_t serial, balancer::Outcome outcome);
+  void stop(AttemptSerial serial, balancer::Outcome outcome);
   // Ends an attempt as not sent unless it has been written completely, or is being answered.
-  void withdraw(std::uint64_t serial);
+  void withdraw(AttemptSerial serial);
 
   AttemptHandle handle() { return {weak_from_this(), serial_}; }
   const std::string& endpoint() const { return endpoint_; }
@@ -115,14 +115,14 @@
   double idle_since_ = 0;
 
   // Of the current attempt. Times on the steady clock.
-  std::uint64_t serial_ = 0;
+  AttemptSerial serial_{};
   std::shared_ptr<UpstreamRequest> request_;
   AttemptCallbacks callbacks_;
   RequestWriter writer_;
   std::optional<ResponseParser> parser_;
-  base::MemoryReservation body_reservation_;         // for the response's body
-  std::shared_ptr<base::BodyStream> response_body_;  // once it is streamed
-  bool is_blocked_ = false;                          // the server takes no bytes now
+  memory::MemoryReservation body_reservation_;         // for the response's body
+  std::shared_ptr<memory::BodyStream> response_body_;  // once it is streamed
+  bool is_blocked_ = false;                            // the server takes no bytes now
   double began_at_ = 0;
   double idle_time_ = 0;  // s; how long the connection had been idle before
   double timeout_ = 0;    // s
