--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -1,145 +1,152 @@
-// Cold servers before many replicas: what all of them send together stays under N + 2 x root of N + 2 in any
-// window of overload_window, N being what the settings allow then. Plays are named by what they add to a calm
-// fleet; each is played with several seeds.
+// Slow start over a fleet: what all replicas together send to starting servers stays under N + 2 x sqrt(N) +
+// 2 in any window of overload_window, N being what the settings allow then. Each scenario runs with several
+// seeds.
 #include <gtest/gtest.h>
 
-#include "support/fleet_model.h"
+#include <string>
+#include <utility>
+
+#include "support/simulated_fleet/simulated_fleet.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-struct Fleet {
+struct SlowStartSettings {
   const char* name;
   double slow_start_capacity, slow_start_duration, overload_multiple, overload_window;
 };
-constexpr Fleet kSettings[] = {{"as on the site", 0.14, 22, 3, 2},
-                               {"a low multiple", 0.1, 30, 1.5, 4},
-                               {"a short ramp", 0.25, 10, 2, 3},
-                               {"a short window", 0.05, 40, 4, 1}};
+constexpr SlowStartSettings kSlowStartSettings[] = {{"as deployed", 0.14, 22, 3, 2},
+                                                    {"small multiple", 0.1, 30, 1.5, 4},
+                                                    {"short slow start", 0.25, 10, 2, 3},
+                                                    {"short window", 0.05, 40, 4, 1}};
+
+FleetScenario scenario_with(const SlowStartSettings& settings, int replicas, int starting_servers, int tier) {
+  FleetScenario scenario;
+  scenario.slow_start_capacity = settings.slow_start_capacity;
+  scenario.slow_start_duration = settings.slow_start_duration;
+  scenario.overload_multiple = settings.overload_multiple;
+  scenario.overload_window = settings.overload_window;
+  scenario.replicas = replicas;
+  scenario.starting_servers = starting_servers;
+  scenario.tier = tier;
+  scenario.rate_per_weight = 6;
+  scenario.start_at = 8;
+  scenario.end_at = 18;
+  return scenario;
+}
 
-Play of(const Fleet& f, int replicas, int cold, int tier) {
-  Play p;
-  p.slow_start_capacity = f.slow_start_capacity;
-  p.slow_start_duration = f.slow_start_duration;
-  p.overload_multiple = f.overload_multiple;
-  p.overload_window = f.overload_window;
-  p.replicas = replicas;
-  p.cold = cold;
-  p.tier = tier;
-  p.unit_rate = 6;
-  p.cold_at = 8;
-  p.end = 18;
-  return p;
+// With a burst that exceeds the fleet's capacity.
+FleetScenario overloaded_scenario(const SlowStartSettings& settings, int replicas, int starting_servers,
+                                  int tier) {
+  FleetScenario scenario = scenario_with(settings, replicas, starting_servers, tier);
+  scenario.load = 1.4;
+  scenario.burst_factor = 2.3;
+  return scenario;
 }
 
-// The worst window of some seeds, in calls and in work.
-void keeps_the_budget(Play play, const std::string& what) {
+void expect_within_budget(FleetScenario scenario, const std::string& description) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-    play.seed = seed;
-    const Counts c = FleetModel(play).run();
-    EXPECT_GE(c.calls.margin, 0) << what << ", seed " << seed << ": " << c.calls.received << " calls of "
-                                 << c.calls.bears << ", " << c.calls.after << " s after the start";
+    scenario.seed = seed;
+    const OverloadWindow worst = SimulatedFleet(scenario).run().slow_start.attempts;
+    EXPECT_GE(worst.margin, 0) << description << ", seed " << seed << ": " << worst.received
+                               << " attempts of " << worst.bearable << ", " << worst.since_start
+                               << " s after the start";
   }
 }
 
 TEST(ColdFleet, OverloadsAndBurstsStayWithinTheBudget) {
-  for (const Fleet& f : kSettings) {
+  for (const SlowStartSettings& settings : kSlowStartSettings) {
     for (const int replicas : {4, 30, 300}) {
       for (const int tier : {0, 1}) {
-        Play p = of(f, replicas, 8, tier);
-        p.load = 1.4;
-        p.burst = 2.3;
-        keeps_the_budget(p, std::string(f.name) + ", " + std::to_string(replicas) + " copies, tier " +
-                                std::to_string(tier));
+        expect_within_budget(overloaded_scenario(settings, replicas, 8, tier),
+                             std::string(settings.name) + ", " + std::to_string(replicas) +
+                                 " replicas, tier " + std::to_string(tier));
       }
     }
   }
 }
 
 TEST(ColdFleet, TroubledNeighboursAreNoReasonForMore) {
-  const std::pair<Trouble, const char*> troubles[] = {
-      {Trouble::kRefusing, "refusing"}, {Trouble::kFailing, "failing"}, {Trouble::kSilent, "silent"},
-      {Trouble::kSlow, "slow"},         {Trouble::kPausing, "pausing"}, {Trouble::kNoDial, "not reached"}};
-  for (const Fleet& f : kSettings) {
-    for (const auto& [trouble, name] : troubles) {
-      Play p = of(f, 20, 8, 1);
-      p.trouble = trouble;
-      p.troubled = 0.3;
-      p.load = 1;
-      p.burst = 2.3;
-      p.back = true;
-      keeps_the_budget(p, std::string(f.name) + ", neighbours " + name);
+  const std::pair<Fault, const char*> faults[] = {
+      {Fault::kRejecting, "rejecting"}, {Fault::kFailing, "failing"}, {Fault::kUnresponsive, "unresponsive"},
+      {Fault::kSlow, "slow"},           {Fault::kPausing, "pausing"}, {Fault::kUnreachable, "unreachable"}};
+  for (const SlowStartSettings& settings : kSlowStartSettings) {
+    for (const auto& [fault, name] : faults) {
+      FleetScenario scenario = overloaded_scenario(settings, 20, 8, 1);
+      scenario.fault = fault;
+      scenario.faulty_fraction = 0.3;
+      scenario.load = 1;
+      scenario.restart_after_crash = true;
+      expect_within_budget(scenario, std::string(settings.name) + ", other servers " + name);
     }
-    Play p = of(f, 4, 1, 1);
-    p.shared_slowness = true;
-    p.load = 1.4;
-    p.burst = 2.3;
-    keeps_the_budget(p, std::string(f.name) + ", all slow");
+    FleetScenario scenario = overloaded_scenario(settings, 4, 1, 1);
+    scenario.shared_slowdown = true;
+    expect_within_budget(scenario, std::string(settings.name) + ", all slow");
   }
 }
 
 TEST(ColdFleet, AReplicaCountThatIsNoLongerTrueChangesNothing) {
-  for (const Fleet& f : kSettings) {
-    for (const Crew crew : {Crew::kHalved, Crew::kDoubled, Crew::kReplaced}) {
+  for (const SlowStartSettings& settings : kSlowStartSettings) {
+    for (const ReplicaSetChange change :
+         {ReplicaSetChange::kHalved, ReplicaSetChange::kDoubled, ReplicaSetChange::kReplaced}) {
       for (const int replicas : {4, 30}) {
-        Play p = of(f, replicas, 8, 0);
-        p.crew = crew;
-        p.load = 1.4;
-        p.burst = 2.3;
-        p.list_spread = 4;
-        p.shared_slowness = replicas == 4;
-        keeps_the_budget(p, std::string(f.name) + ", crew " + std::to_string(static_cast<int>(crew)) +
-                                ", copies " + std::to_string(replicas));
+        FleetScenario scenario = overloaded_scenario(settings, replicas, 8, 0);
+        scenario.replica_set_change = change;
+        scenario.notification_spread = 4;
+        scenario.shared_slowdown = replicas == 4;
+        expect_within_budget(scenario, std::string(settings.name) + ", replica set change " +
+                                           std::to_string(static_cast<int>(change)) + ", replicas " +
+                                           std::to_string(replicas));
       }
     }
   }
 }
 
-// Beside crowded neighbours a cold server looks as quick as they are, and is trusted with more.
+// Next to crowded servers a starting one responds as fast as they do, and is trusted with more.
 TEST(ColdFleet, CrowdedNeighboursMakeNoColdServerLookQuick) {
-  const std::pair<Trouble, double> troubles[] = {{Trouble::kPausing, 0.25}, {Trouble::kSlow, 0.4}};
-  for (const Fleet& f : {kSettings[2], Fleet{"half its capacity", 0.5, 6, 1.5, 2}}) {
-    for (const auto& [trouble, part] : troubles) {
+  const std::pair<Fault, double> faults[] = {{Fault::kPausing, 0.25}, {Fault::kSlow, 0.4}};
+  for (const SlowStartSettings& settings :
+       {kSlowStartSettings[2], SlowStartSettings{"half its capacity", 0.5, 6, 1.5, 2}}) {
+    for (const auto& [fault, faulty_fraction] : faults) {
       for (const int replicas : {4, 30}) {
-        Play p = of(f, replicas, 8, 1);
-        p.unit_rate = 12;
-        p.trouble = trouble;
-        p.troubled = part;
-        p.slow_by = 2.5;
-        p.load = 1.4;
-        p.burst = 2.3;
-        p.burst_after = 4;
-        keeps_the_budget(p, std::string(f.name) + ", " + std::to_string(replicas) + " copies");
+        FleetScenario scenario = overloaded_scenario(settings, replicas, 8, 1);
+        scenario.rate_per_weight = 12;
+        scenario.fault = fault;
+        scenario.faulty_fraction = faulty_fraction;
+        scenario.slowdown = 2.5;
+        scenario.burst_delay = 4;
+        expect_within_budget(scenario,
+                             std::string(settings.name) + ", " + std::to_string(replicas) + " replicas");
       }
     }
   }
 }
 
-// What is held back for safety alone never warms up beside crowded ones.
+// A starting server that gets next to nothing, for safety, never warms up.
 TEST(ColdFleet, StartingServersAreNotLeftIdle) {
   for (const int replicas : {4, 30, 300}) {
-    Play p = of(kSettings[0], replicas, 4, 0);
-    p.unit_rate = 20;
-    p.load = 0.7;
-    double part = 0;
+    FleetScenario scenario = scenario_with(kSlowStartSettings[0], replicas, 4, 0);
+    scenario.rate_per_weight = 20;
+    scenario.load = 0.7;
+    double utilization = 0;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      p.seed = seed;
-      part += FleetModel(p).run().cold_part / 3;
+      scenario.seed = seed;
+      utilization += SimulatedFleet(scenario).run().slow_start_utilization() / 3;
     }
-    EXPECT_GE(part, replicas == 300 ? 0.15 : 0.35) << replicas << " copies";
+    EXPECT_GE(utilization, replicas == 300 ? 0.15 : 0.35) << replicas << " replicas";
   }
 }
 
-// The same play gives the same counts, and the members of a crew do differ.
 TEST(ColdFleet, PlaysAreTheSameEveryTime) {
-  Play p = of(kSettings[0], 30, 8, 0);
-  p.crew = Crew::kReplaced;
-  const Counts a = FleetModel(p).run(), b = FleetModel(p).run();
-  EXPECT_EQ(a.sends, b.sends);
-  EXPECT_EQ(a.in_time, b.in_time);
-  EXPECT_EQ(a.calls.received, b.calls.received);
-  p.seed = 2;
-  EXPECT_NE(a.sends, FleetModel(p).run().sends);
+  FleetScenario scenario = scenario_with(kSlowStartSettings[0], 30, 8, 0);
+  scenario.replica_set_change = ReplicaSetChange::kReplaced;
+  const FleetCounts first = SimulatedFleet(scenario).run();
+  const FleetCounts second = SimulatedFleet(scenario).run();
+  EXPECT_EQ(first.attempts, second.attempts);
+  EXPECT_EQ(first.within_objective, second.within_objective);
+  EXPECT_EQ(first.slow_start.attempts.received, second.slow_start.attempts.received);
+  scenario.seed = 2;
+  EXPECT_NE(first.attempts, SimulatedFleet(scenario).run().attempts);
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/support/event_queue.cpp
@@ -0,0 +1,20 @@
+#include "support/event_queue.h"
+
+#include <utility>
+
+namespace asterdrift::balancer {
+
+void EventQueue::schedule(double at, std::function<void()> run) {
+  events_.push({at, ++scheduled_, std::move(run)});
+}
+
+void EventQueue::run_until(double end) {
+  while (!events_.empty() && events_.top().at <= end) {
+    now_ = events_.top().at;
+    const std::function<void()> run = events_.top().run;
+    events_.pop();
+    run();
+  }
+}
+
+}  // namespace asterdrift::balancer
