--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -65,7 +65,7 @@
 
 bool has(const std::string& line, const std::string& part) { return line.find(part) != std::string::npos; }
 
-TEST(Adapter, HoldsAConversation) {
+TEST(SimulatorAdapter, AnswersEachBatch) {
   const Ran r = run({
       batch(1, 1, ""),
       batch(2, 1.5, open_node(4)),
@@ -85,7 +85,7 @@
   EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(Adapter, StopsAndStartsWithinABatch) {
+TEST(SimulatorAdapter, InstanceRestartsWithinBatch) {
   const std::string query = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
   std::string node = open_node(1, query);
   node.insert(node.find("{\"kind\":\"OPEN"),
@@ -97,7 +97,7 @@
   EXPECT_TRUE(has(r.lines[1], R"("txn":"a")"));
 }
 
-TEST(Adapter, ListNumbersAreReusedWithinABatch) {
+TEST(SimulatorAdapter, ReusedListNumberMeansLatestList) {
   const Ran r = run(
       {batch(1, 1, open_node(1)),
        batch(
@@ -110,7 +110,7 @@
   EXPECT_TRUE(has(r.lines[1], R"("server":"c:1")"));
 }
 
-TEST(Adapter, SaysWhatIsWrongWithALine) {
+TEST(SimulatorAdapter, InvalidLineIsReported) {
   const auto fails = [](const std::string& line, const std::string& turn, const std::string& part) {
     const Ran r = run({line});
     EXPECT_NE(r.code, 0);
@@ -134,7 +134,7 @@
   fails(batch(7, 1, open_node(1, R"(,{"kind":"DIRECTORY_UPDATE","form":"F","sheet":9})")), "7", "'sheet'");
 }
 
-TEST(Adapter, PanicsOnSettingsItCannotUse) {
+TEST(SimulatorAdapter, PanicsOnInvalidSettings) {
   const auto panics = [](const std::string& from, const std::string& to, const std::string& part) {
     std::string config = config_text();
     config.replace(config.find(from), from.size(), to);
@@ -152,7 +152,7 @@
 
 // Odd but legal: outcomes and report values of later wires, lists without entries, no time left, many
 // restarts.
-TEST(Adapter, TakesOddButLegalLines) {
+TEST(SimulatorAdapter, AcceptsUnusualButValidLines) {
   const std::string restart = open_node(4).substr(open_node(4).find("{\"kind\":\"OPEN"));
   std::string restarts;
   for (int i = 0; i < 20; ++i) restarts += restart.substr(0, restart.size() - 2) + ",";
@@ -182,7 +182,7 @@
 }
 
 // Sharing nothing: the actions of an instance do not depend on who else lives in its process.
-TEST(Adapter, OneProcessOrThreeMakesNoDifference) {
+TEST(SimulatorAdapter, InstancesInOneProcessAreIndependent) {
   const auto lines_for = [](const std::vector<int>& whos) {
     std::vector<std::string> lines;
     std::string nodes;
--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -34,13 +34,13 @@
   return admitted;
 }
 
-TEST(Suppression, FollowsTheWorkedFigures) {
+TEST(SuppressionFactor, MatchesWorkedExamples) {
   EXPECT_NEAR(suppression_factor(10, 14, 14), 0.286, 0.0005);
   EXPECT_NEAR(suppression_factor(10, 11.67, 12), 0.167, 0.0005);
   EXPECT_NEAR(suppression_factor(10, 13.33, 15), 0.333, 0.0005);
 }
 
-TEST(Suppression, TakesTheHigherRateAndStaysInRange) {
+TEST(SuppressionFactor, UsesHigherRateAndStaysInRange) {
   EXPECT_DOUBLE_EQ(suppression_factor(10, 20, 5), 0.5);
   EXPECT_DOUBLE_EQ(suppression_factor(10, 5, 20), 0.5);
   EXPECT_DOUBLE_EQ(suppression_factor(10, 5, 5), 0);
@@ -48,14 +48,14 @@
   EXPECT_DOUBLE_EQ(suppression_factor(std::numeric_limits<double>::infinity(), 5, 5), 0);
 }
 
-TEST(Admission, BelowTheLimitEverythingGoes) {
+TEST(AdmissionControl, RequestsBelowRateLimitAreAdmitted) {
   TestReplica replica(one_tenant(100));
   replica.at(0, members(4));
   EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
 }
 
-TEST(Admission, AboveTheLimitTheRestIsDeniedSmoothly) {
+TEST(AdmissionControl, ExcessAboveRateLimitIsDeniedProportionally) {
   Settings s = one_tenant(10);
   s.over_quota_priority_weight = 0;  // the limit stays where it starts
   TestReplica replica(s);
@@ -69,7 +69,7 @@
   EXPECT_GT(view.declined, 0);
 }
 
-TEST(Admission, AtTheHardLimitAllAreDenied) {
+TEST(AdmissionControl, AllAreDeniedAtHardLimit) {
   TestReplica replica(one_tenant(10));
   replica.at(0, members(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
@@ -84,7 +84,7 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
 }
 
-TEST(Admission, TheWindowExpires) {
+TEST(AdmissionControl, WindowExpires) {
   TestReplica replica(one_tenant(10));
   replica.at(0, members(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
@@ -95,7 +95,7 @@
 }
 
 // The factor is kept for 100 ms: a flood within that time is met with the factor from before it.
-TEST(Admission, TheFactorIsCached) {
+TEST(AdmissionControl, SuppressionFactorIsCached) {
   Settings s = one_tenant(100);
   s.over_quota_priority_weight = 0;
   TestReplica replica(s);
@@ -120,7 +120,7 @@
   EXPECT_NEAR(pour(0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
 
-TEST(Admission, ADenialIsARefusalUnsent) {
+TEST(AdmissionControl, DeniedRequestIsRejectedWithoutAttempt) {
   TestReplica replica(one_tenant(10));
   replica.at(0, members(4));
   int refused = 0;
@@ -135,7 +135,7 @@
   EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, refused);
 }
 
-TEST(TenantLimit, RisesWhileCallsFinishInTime) {
+TEST(TenantRateLimit, RisesWhileRequestsFinishInTime) {
   TestReplica replica(one_tenant(10));
   replica.at(0, members(4));
   const double before = replica.balancer.tenant(0, 0).rate_limit;
@@ -144,7 +144,7 @@
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
 }
 
-TEST(TenantLimit, DropsWhenCallsFailButKeepsAFloor) {
+TEST(TenantRateLimit, DropsOnRejectionsButNotBelowQuota) {
   TestReplica replica(one_tenant(100));
   replica.at(0, members(4));
   offer(replica, 0, 40, 120, "up");
@@ -157,7 +157,7 @@
 }
 
 // Of a few calls one is always slow; a replica of many that was cut for it denied a third of a calm day.
-TEST(TenantLimit, FewSlowCallsDoNotCutAReplicaOfManyBelowItsPart) {
+TEST(TenantRateLimit, FewSlowRequestsDoNotLowerReplicaBelowItsQuota) {
   Settings s = one_tenant(8 * 20);
   s.replica_count = 20;
   TestReplica replica(s);
@@ -172,7 +172,7 @@
   EXPECT_EQ(denied, 0);
 }
 
-TEST(TenantLimit, OneReviewDropsItOnce) {
+TEST(TenantRateLimit, IsLoweredOncePerReview) {
   TestReplica replica(one_tenant(100));
   replica.at(0, members(4));
   offer(replica, 0, 0.9, 200, "a", Outcome::kRejected);
@@ -183,7 +183,7 @@
 
 // Where no quota is told a limit has no part to stand on. Some calls are slow on any day, and one
 // cut after another left a replica with its least rate while nearly all of its calls ended well.
-TEST(TenantLimit, WithoutAnQuotaItStaysAboveWhatEndsWell) {
+TEST(TenantRateLimit, WithoutQuotaStaysAboveRateOfSuccesses) {
   for (const bool named : {false, true}) {
     for (const int tier : {0, 1}) {
       Settings s = basic_settings();
@@ -204,7 +204,7 @@
 }
 
 // And what no server answers any more is still held back.
-TEST(TenantLimit, WithoutAnQuotaAJamCutsIt) {
+TEST(TenantRateLimit, WithoutQuotaIsLoweredByRejections) {
   TestReplica replica(basic_settings());
   replica.at(0, members(16));
   offer(replica, 0, 20, 40, "a");
@@ -213,7 +213,7 @@
 }
 
 // A limit that an overload had pushed under the tenant's part stayed there for the rest of the day.
-TEST(TenantLimit, AnOverloadDoesNotPushAReplicaOfManyBelowItsPart) {
+TEST(TenantRateLimit, OverloadDoesNotLowerReplicaBelowItsQuota) {
   Settings s = one_tenant(400);
   s.replica_count = 400;
   TestReplica replica(s);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -77,7 +77,7 @@
 }
 
 // Calls to a server that has stopped answering wait for nothing, and behind each other.
-TEST(ConcurrencyLimit, CallsInFlightAreBoundByWhatAServerAnswers) {
+TEST(ConcurrencyLimit, RequestsToUnresponsiveEndpointsAreBounded) {
   TestReplica replica(roomy_settings());
   replica.at(0, members(3));
   int sent = 0;
@@ -93,7 +93,7 @@
   EXPECT_LT(sent, 40);
 }
 
-TEST(ConcurrencyLimit, WhatIsStillArrivingIsNoWorkYet) {
+TEST(ConcurrencyLimit, RequestWithArrivingBodyIsNotCounted) {
   TestReplica replica(basic_settings());
   replica.at(0, members(4));
   int sent = 0;
@@ -105,7 +105,7 @@
   EXPECT_FALSE(all<SendAttempt>(replica.request("after")).empty());
 }
 
-TEST(ConcurrencyLimit, ASlotThatHasGoneToAnotherServerIsNotCharged) {
+TEST(ConcurrencyLimit, ReusedSlotIsNotChargedForEarlierEndpoint) {
   TestReplica replica(basic_settings());
   replica.at(0, members(1));
   ASSERT_EQ(arriving(replica, "a"), "s0");
@@ -118,7 +118,7 @@
     EXPECT_FALSE(all<SendAttempt>(replica.request("b" + std::to_string(i))).empty());
 }
 
-TEST(ConcurrencyLimit, ALargeAnswerCountsFromItsFirstByte) {
+TEST(ConcurrencyLimit, StreamedResponseCountsFromItsFirstByte) {
   TestReplica replica(basic_settings());
   replica.at(0, members(4));
   for (int i = 0; i < 200; ++i) {
@@ -131,7 +131,7 @@
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
 }
 
-TEST(ConcurrencyLimit, TheStartIsSharedOutOverTheReplicas) {
+TEST(ConcurrencyLimit, InitialLimitIsSplitAmongReplicas) {
   std::map<std::string, int> held;
   for (int index = 0; index < 8; ++index) {
     Settings s = roomy_settings();
@@ -149,7 +149,7 @@
 }
 
 // A refusal past the first tier throws away the work that was done above it.
-TEST(ConcurrencyLimit, PastTheFirstTierNothingIsRejectedForIt) {
+TEST(ConcurrencyLimit, RejectsNothingBeyondFirstTier) {
   Settings s = roomy_settings();
   s.tier = 1;
   TestReplica replica(s);
@@ -158,14 +158,14 @@
 }
 
 // A sparse replica took two calls out at once for a queue and refused a tenth of a calm day.
-TEST(ConcurrencyLimit, ALowTrafficReplicaDoesNotRefuseForChance) {
+TEST(ConcurrencyLimit, LowTrafficReplicaDoesNotRejectRandomBursts) {
   const FleetDay calm = fleet_day(400, 60, 2.5, 0.3, 60);
   EXPECT_GT(calm.sent, 120);
   EXPECT_LE(calm.refused, calm.sent / 50);
 }
 
 // With bounds of a call or so, none of many sparse replicas ever holds back and a jam never runs off.
-TEST(ConcurrencyLimit, ALowTrafficReplicaHoldsBackWhenAnswersTakeTooLong) {
+TEST(ConcurrencyLimit, LowTrafficReplicaRejectsWhenResponsesAreTooSlow) {
   const FleetDay jammed = fleet_day(400, 60, 2.5, 5, 60);
   EXPECT_GT(jammed.refused, 2 * jammed.sent);
 }
@@ -173,7 +173,7 @@
 // A server's room is less than one call at each of many replicas. Counted in whole calls it shut most
 // servers to most replicas, and a replica with a few calls out refused the next before servers that stood
 // idle.
-TEST(ConcurrencyLimit, ManyReplicasDoNotShutServersToEachOther) {
+TEST(ConcurrencyLimit, ManyReplicasDoNotExhaustEachOthersCapacity) {
   const FleetDay calm = fleet_day(48, 16, 12, 0.3, 60);
   EXPECT_GT(calm.sent, 500);
   EXPECT_LE(calm.refused, calm.sent / 30);
@@ -181,7 +181,7 @@
 
 // With few calls a replica learns its tier's usual answer time late, and what was assumed instead had
 // each of many replicas refuse calls from the first second on where an idle tier is slower.
-TEST(ConcurrencyLimit, BeforeTheUsualAnswerTimeIsLearnedACalmStartIsServed) {
+TEST(ConcurrencyLimit, StartIsServedBeforeUsualLatencyIsLearned) {
   for (const double rate : {6.0, 10.0}) {
     const FleetDay start = fleet_day(48, 16, rate, 0.7, 4);
     EXPECT_GT(start.sent, 20) << rate;
@@ -190,7 +190,7 @@
 }
 
 // And the room of all servers together is a limit all the same.
-TEST(ConcurrencyLimit, ManyReplicasHoldBackWhenAnswersTakeTooLong) {
+TEST(ConcurrencyLimit, ManyReplicasRejectWhenResponsesAreTooSlow) {
   const FleetDay jammed = fleet_day(48, 16, 12, 5, 60);
   EXPECT_GT(jammed.refused, jammed.sent);
 }
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -26,7 +26,7 @@
   return names(endpoints, slots);
 }
 
-TEST(EndpointIndex, IndexesAndSubsetMatchAPlainList) {
+TEST(EndpointIndex, IndexesAndSubsetMatchReferenceList) {
   std::size_t most = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Settings s = many_replicas(class_of(Idempotency::kIdempotent), seed % 2 == 0 ? 90 : 25);
@@ -92,7 +92,7 @@
   EXPECT_GT(most, 500U);
 }
 
-TEST(EndpointIndex, ASubsetThatIsLargeIsLookedAtEvenly) {
+TEST(EndpointIndex, LargeSubsetIsSampledEvenly) {
   EndpointSet endpoints(0);
   Subset subset;
   support::Random random(1);
@@ -117,7 +117,7 @@
   EXPECT_NEAR(own, all / 3.0, all / 30.0);
 }
 
-TEST(EndpointIndex, LooksThatFollowEachOtherSeeAll) {
+TEST(EndpointIndex, SuccessiveSamplesCoverAllEndpoints) {
   EndpointSet endpoints(0);
   Subset subset;
   support::Random random(1);
@@ -133,7 +133,7 @@
   EXPECT_EQ(seen.size(), 7000U);
 }
 
-TEST(EndpointIndex, NoCallGoesToAServerThatDrainsOrIsGone) {
+TEST(EndpointIndex, NoAttemptIsSentToDrainingOrRemovedEndpoint) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Settings s =
         many_replicas(class_of(Idempotency::kIdempotencyKey, DedupScope::kCell), seed % 2 == 0 ? 300 : 5);
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -40,7 +40,7 @@
 
 // The digests are those of a balancer that examines every endpoint: it had no indexes yet. They cover the log
 // lines too; with the wording of that time the digests are the ones recorded then.
-TEST(EndpointScale, DecisionsOfSmallFleetsAreWhatTheyWere) {
+TEST(EndpointScale, DecisionsMatchExhaustiveSearchInSmallFleets) {
   const std::map<std::size_t, std::uint64_t> before = {
       {7, 0xd521f1c56395b2adU}, {20, 0xdb595e1d83a5a9d5U}, {64, 0x74fd6b5fbbef9f5fU}};
   for (const auto& [servers, digest] : before) {
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(EndpointScale, AChangeCostsTheSameHoweverManyServersThereAre) {
+TEST(EndpointScale, UpdateCostIsIndependentOfFleetSize) {
   for (const int replicas : {2000, 4}) {
     for (const int servers : {700, 7000, 27000}) {
       TestReplica replica(many_replicas(class_of(Idempotency::kIdempotent), replicas));
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(EndpointScale, ACallLooksAtABoundedNumberOfServersAlsoWhereNoneIsWell) {
+TEST(EndpointScale, RequestExaminesBoundedNumberOfEndpointsAlsoWhenNoneIsHealthy) {
   for (const int replicas : {2000, 4}) {
     for (const int servers : {700, 7000, 27000}) {
       Settings s = many_replicas(class_of(Idempotency::kIdempotencyKey, DedupScope::kZone), replicas);
@@ -100,7 +100,7 @@
   }
 }
 
-TEST(EndpointScale, WhatIsSeenOfTheServersCostsTheSameHoweverManyThereAre) {
+TEST(EndpointScale, ViewCostIsIndependentOfFleetSize) {
   TestReplica replica(many_replicas());
   replica.at(0, fleet(27000));
   for (int i = 0; i < 400; ++i) {
@@ -125,7 +125,7 @@
   return out;
 }
 
-TEST(EndpointScale, OthersServeWhereTheSubsetIsIllOrSilentOrDrains) {
+TEST(EndpointScale, OtherEndpointsServeWhenSubsetIsFailingUnresponsiveOrDraining) {
   for (const char* what : {"ill", "silent", "draining"}) {
     TestReplica replica(many_replicas());
     replica.at(0, fleet(7000));
@@ -159,7 +159,7 @@
 }
 
 // Looks at random would miss the only server that may get the repeat.
-TEST(EndpointScale, AKeyedRepeatFindsTheOneServerOfItsCellOrZone) {
+TEST(EndpointScale, KeyedRetryFindsOnlyOtherEndpointOfItsCellOrZone) {
   for (const DedupScope scope : {DedupScope::kCell, DedupScope::kZone}) {
     EndpointUpdate m = fleet(7000);
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
@@ -195,7 +195,7 @@
 }
 
 // One of many can be used: each call looks at some, and the next ones at those that follow.
-TEST(EndpointScale, TheOneServerThatIsWarmIsFoundByLaterCalls) {
+TEST(EndpointScale, OnlyWarmEndpointIsFoundByLaterRequests) {
   Settings s = many_replicas();
   s.slow_start_capacity = 0.001;
   s.slow_start_duration = 1e9;
--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -12,7 +12,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-TEST(EndpointSelection, PrefersTheLessBusy) {
+TEST(EndpointSelection, PrefersLessBusyEndpoint) {
   Settings s = basic_settings();
   TestReplica replica(s);
   replica.at(0, members(2));
@@ -26,7 +26,7 @@
 }
 
 // Comparing sizes, a replica with nothing in flight gave every call to the largest server.
-TEST(EndpointSelection, SizeCountsInTheDraw) {
+TEST(EndpointSelection, SelectionIsProportionalToWeight) {
   TestReplica replica(basic_settings());
   EndpointUpdate m = members(2);
   m.endpoints[1].weight = 3;
@@ -42,7 +42,7 @@
   EXPECT_NEAR(used["s1"], 300, 30);
 }
 
-TEST(EndpointSelection, TheSameSeedAndEventsGiveTheSameActions) {
+TEST(EndpointSelection, SameSeedAndEventsGiveSameActions) {
   const auto run = [] {
     TestReplica replica(basic_settings(), 99);
     replica.at(5, members(12));
--- a/tests/balancer/endpoint_set_test.cpp
+++ b/tests/balancer/endpoint_set_test.cpp
@@ -14,7 +14,7 @@
 }
 
 // Endpoints are replaced by others under new addresses all day.
-TEST(EndpointSet, ReusesTheSlotsOfRemovedEndpoints) {
+TEST(EndpointSet, ReusesSlotsOfRemovedEndpoints) {
   EndpointSet endpoints;
   support::Random random(1);
   for (int i = 0; i < 1000; ++i) {
@@ -30,7 +30,7 @@
 }
 
 // An attempt that ends late must not be counted for an endpoint that has nothing to do with it.
-TEST(EndpointSet, KeepsASlotWithRequestsInFlight) {
+TEST(EndpointSet, DoesNotReuseSlotWithRequestsInFlight) {
   EndpointSet endpoints;
   support::Random random(1);
   endpoints.apply(endpoint(0), 0, 0, random);
--- a/tests/balancer/endpoint_update_test.cpp
+++ b/tests/balancer/endpoint_update_test.cpp
@@ -19,7 +19,7 @@
   return used;
 }
 
-TEST(EndpointUpdate, NothingNewOnceTold) {
+TEST(EndpointUpdate, DrainingOrRemovedEndpointGetsNoNewRequests) {
   for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     TestReplica replica(basic_settings());
     replica.at(0, members(3));
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(EndpointUpdate, AServerMissingFromAFullListIsGone) {
+TEST(EndpointUpdate, EndpointMissingFromSnapshotIsRemoved) {
   TestReplica replica(basic_settings());
   replica.at(0, members(3));
   replica.at(1, members(2));
@@ -47,7 +47,7 @@
   EXPECT_EQ(servers_used(replica, 50, "b"), (std::set<std::string>{"s0", "s1"}));
 }
 
-TEST(EndpointWatch, IsAskedForAtTheStartAndAgainAfterFailures) {
+TEST(EndpointWatch, IsRequestedAtStartAndAfterFailures) {
   Settings s = basic_settings();
   s.requires_watch = true;
   s.poll_within = 10;
@@ -66,7 +66,7 @@
   }
 }
 
-TEST(EndpointWatch, IsNotAskedForWhereChangesArriveByThemselves) {
+TEST(EndpointWatch, IsNotRequestedWhenUpdatesArriveUnsolicited) {
   TestReplica replica(basic_settings());
   EXPECT_TRUE(replica.at(0, Started{}).empty());
   EndpointUpdate failed;
--- a/tests/balancer/error_response_limit_test.cpp
+++ b/tests/balancer/error_response_limit_test.cpp
@@ -32,21 +32,21 @@
   return replica.balancer.tenant(replica.now, 0).rate_limit / before;
 }
 
-TEST(ErrorLimit, ErrorsAndBrokenConnectionsNeitherLowerNorRaiseIt) {
+TEST(RateLimitFeedback, ErrorsAndResetConnectionsDoNotChangeRateLimit) {
   for (const Outcome outcome : {Outcome::kServerError, Outcome::kConnectionReset, Outcome::kUnknown}) {
     EXPECT_GE(moved(outcome, 3), 1);         // what is answered between them may raise it
     EXPECT_DOUBLE_EQ(moved(outcome, 1), 1);  // errors alone do not
   }
 }
 
-TEST(ErrorLimit, RefusalsTimeoutsAndFailedConnectionsLowerIt) {
+TEST(RateLimitFeedback, RejectionsTimeoutsAndConnectFailuresLowerRateLimit) {
   for (const Outcome outcome : {Outcome::kRejected, Outcome::kTimedOut, Outcome::kConnectFailed}) {
     EXPECT_LT(moved(outcome, 3), 0.9);
   }
 }
 
 // The limit fell with each error, and a tier with room for all turned most of its calls away.
-TEST(ErrorLimit, HalfOfTheCallsInErrorLeaveTheOthersServed) {
+TEST(RateLimitFeedback, OtherRequestsAreServedWhileHalfOfThemFail) {
   for (const int tier : {0, 1}) {
     for (const Idempotency effect : {Idempotency::kIdempotent, Idempotency::kNotIdempotent}) {
       for (const Outcome outcome : {Outcome::kServerError, Outcome::kConnectionReset}) {
--- a/tests/balancer/final_response_test.cpp
+++ b/tests/balancer/final_response_test.cpp
@@ -18,7 +18,7 @@
                                  Outcome::kNotSent,       Outcome::kUnknown};
 
 // Orders in which an outcome, the deadline and the client's leaving can meet: one final answer, none after.
-TEST(FinalResponse, OneFinalAnswerUnderEveryOrder) {
+TEST(FinalResponse, IsGivenOnceInEveryOrderOfEvents) {
   for (const Outcome outcome : kFailures) {
     for (const bool gone_first : {false, true}) {
       Settings s = basic_settings(class_of(Idempotency::kNotIdempotent));
@@ -45,7 +45,7 @@
   }
 }
 
-TEST(FinalResponse, AnOutcomeThatEndedTheRequestNeedsNoAnswer) {
+TEST(FinalResponse, IsNotGivenAfterSuccessfulAttempt) {
   TestReplica replica(basic_settings());
   replica.at(0, members(3));
   replica.request("r");
@@ -53,7 +53,7 @@
   EXPECT_TRUE(replica.at(0, RequestAborted{"r"}).empty());
 }
 
-TEST(FinalResponse, ATimeOutNeverPassesTheClientsOwn) {
+TEST(FinalResponse, AttemptTimeoutDoesNotExceedClientTimeout) {
   RequestClass c = class_of(Idempotency::kNotIdempotent);
   c.late_priority_weight = 0.5;
   TestReplica replica(basic_settings(c));
@@ -67,7 +67,7 @@
   EXPECT_GT(sends[0].timeout, 0);
 }
 
-TEST(FinalResponse, WithoutServersARequestIsRejected) {
+TEST(FinalResponse, RequestIsRejectedWithoutReadyEndpoints) {
   TestReplica nothing_known(basic_settings());
   EXPECT_EQ(all<RejectRequest>(nothing_known.request("a")).size(), 1U);
   TestReplica draining(basic_settings());
@@ -77,7 +77,7 @@
   EXPECT_EQ(all<RejectRequest>(draining.request("a")).size(), 1U);
 }
 
-TEST(FinalResponse, NoMoreAttemptsThanAllowed) {
+TEST(FinalResponse, IsGivenAfterMaxAttempts) {
   Settings s = basic_settings();
   s.max_attempts = 3;
   TestReplica replica(s);
--- a/tests/balancer/late_connect_test.cpp
+++ b/tests/balancer/late_connect_test.cpp
@@ -29,7 +29,7 @@
 }
 
 // The budget for retries is a fifth of the calls; here every call needs another connection.
-TEST(LateDial, AFailedDialTakesNothingFromTheBudgetForRetries) {
+TEST(ConnectFailure, IsNotChargedToRetryBudget) {
   TestReplica replica = copy_with_servers();
   for (int i = 0; i < 60; ++i) {
     replica.now = 0.2 * i;
@@ -38,7 +38,7 @@
 }
 
 // Each request in turn meets a failed dial and then an error: its dial is free, the repeat after it is not.
-TEST(LateDial, WhatFollowsAnErrorIsPaidForAlsoBehindAFailedDial) {
+TEST(ConnectFailure, LaterErrorIsChargedToRetryBudget) {
   TestReplica replica = copy_with_servers();
   int repeats = 0;
   for (int i = 0; i < 60; ++i) {
@@ -53,7 +53,7 @@
 }
 
 // Where no connection comes up at all, the attempts allowed for one request are the bound.
-TEST(LateDial, FailedDialsEndWithTheAttemptsAllowed) {
+TEST(ConnectFailure, RetriesEndAtMaxAttempts) {
   TestReplica replica = copy_with_servers();
   const std::vector<Outcome> never(10, Outcome::kConnectFailed);
   for (int i = 0; i < 20; ++i) {
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -40,7 +40,7 @@
 };
 
 // A server that fails at once has nothing in flight and looks the least busy of all.
-TEST(OutlierDetection, AFastFailingServerIsEjectedAndComesBack) {
+TEST(OutlierDetection, FastFailingEndpointIsEjectedAndReadmitted) {
   TestReplica replica(roomy_settings());
   replica.at(0, members(6));
   const auto ill = play(replica, "s2", Outcome::kServerError, 0, 10, 50, "a");
@@ -50,7 +50,7 @@
 }
 
 // A server that crowding has slowed keeps its share, and stays crowded.
-TEST(OutlierDetection, ASlowServerGetsFewerCalls) {
+TEST(OutlierDetection, SlowEndpointGetsFewerRequests) {
   TestReplica replica(roomy_settings());
   replica.at(0, members(4));
   std::map<std::string, int> used;
@@ -68,7 +68,7 @@
 }
 
 // A silent server was judged only when its calls ended, for unsafe classes at the end of their time.
-TEST(OutlierDetection, ASilentServerIsSparedBeforeItsCallsEnd) {
+TEST(OutlierDetection, UnresponsiveEndpointIsAvoidedBeforeItsAttemptsEnd) {
   TestReplica replica(basic_settings(class_of(Idempotency::kNotIdempotent)));
   replica.at(0, members(4));
   int silent = 0;
@@ -88,7 +88,7 @@
 }
 
 // Judging each server alone would leave nobody to send to when the cause is shared.
-TEST(OutlierDetection, WhenAllFailTheFleetIsNotEmptied) {
+TEST(OutlierDetection, RequestsAreSentWhenAllEndpointsFail) {
   TestReplica replica(roomy_settings());
   replica.at(0, members(4));
   int sent = 0;
@@ -103,7 +103,7 @@
   EXPECT_EQ(sent, 200);
 }
 
-TEST(OutlierDetection, ItsViewNamesWhatItAvoids) {
+TEST(OutlierDetection, ViewCountsUnavailableEndpoints) {
   TestReplica replica(basic_settings());
   EndpointUpdate list = members(5);
   list.endpoints[4].state = EndpointState::kDraining;
--- a/tests/balancer/random_walk_test.cpp
+++ b/tests/balancer/random_walk_test.cpp
@@ -238,7 +238,7 @@
   int sends_ = 0, finals_ = 0;
 };
 
-TEST(RandomWalk, KeepsTheFourRules) {
+TEST(RandomWalk, InvariantsHold) {
   const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kAll},
                                                       {Idempotency::kIdempotencyKey, DedupScope::kAll},
                                                       {Idempotency::kIdempotencyKey, DedupScope::kZone},
--- a/tests/balancer/retry_depth_test.cpp
+++ b/tests/balancer/retry_depth_test.cpp
@@ -82,17 +82,17 @@
   }
 }
 
-TEST(Depth, FailuresAtEachTier) {
+TEST(Depth, AttemptsAreBoundedWhenEachTierFails) {
   guard(Where::kEachTier, {{0.1, "tenth", 1.25}, {0.5, "half", 1.1}, {1, "all", 1.1}});
 }
 
 // A budget that grows with what is sent, whatever becomes of it, grows with the attempts of the tier
 // above: 1.2 to the power of the depth. Over these 8 s most of what is beyond one is saved up from the start.
-TEST(Depth, FailuresAtTheLastTier) {
+TEST(Depth, AttemptsAreBoundedWhenLastTierFails) {
   guard(Where::kLastTier, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2.65}});
 }
 
-TEST(Depth, FailuresAtOneTierAmidTheChain) {
+TEST(Depth, AttemptsAreBoundedWhenMiddleTierFails) {
   guard(Where::kOneTier, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2}});
 }
 
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -16,7 +16,7 @@
   int refused = 0;
 };
 
-TEST(RetryPolicy, FurtherAttemptsHaveABudget) {
+TEST(RetryPolicy, RetriesAreBoundedByBudget) {
   TestReplica replica(basic_settings());
   replica.at(0, members(4));
   int firsts = 0;
@@ -35,7 +35,7 @@
   EXPECT_LT(others, firsts / 4 + 10);
 }
 
-TEST(RetryPolicy, AFurtherAttemptGoesElsewhere) {
+TEST(RetryPolicy, RetryGoesToAnotherEndpoint) {
   TestReplica replica(basic_settings());
   replica.at(0, members(3));
   const auto first = all<SendAttempt>(replica.request("r"));
@@ -44,7 +44,7 @@
   EXPECT_NE(first[0].endpoint, second[0].endpoint);
 }
 
-TEST(RetryPolicy, WhatHasGoneOutAndIsNotKeptIsNotSentAgain) {
+TEST(RetryPolicy, RequestWithConsumedBodyIsNotRetried) {
   for (const bool gone : {false, true}) {
     TestReplica replica(basic_settings());
     replica.at(0, members(4));
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(RetryPolicy, FollowTheObservedLatency) {
+TEST(RetryPolicy, AttemptTimeoutFollowsObservedLatency) {
   TestReplica replica(basic_settings());
   replica.at(0, members(4));
   const double before = all<SendAttempt>(replica.request("first"))[0].timeout;
@@ -88,7 +88,7 @@
 }
 
 // Every effect and scope against every failure: what may be sent again, where, and what may be refused.
-TEST(RetryPolicy, RepeatMatrix) {
+TEST(RetryPolicy, RetriesRespectIdempotencyAndDedupScope) {
   const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
                                                       {Idempotency::kIdempotencyKey, DedupScope::kAll},
                                                       {Idempotency::kIdempotencyKey, DedupScope::kZone},
@@ -135,7 +135,7 @@
   }
 }
 
-TEST(RetryPolicy, NothingIsRepeatedAfterTheServersForget) {
+TEST(RetryPolicy, NothingIsRetriedAfterDedupWindow) {
   RequestClass c = class_of(Idempotency::kIdempotencyKey, DedupScope::kAll);
   c.dedup_window = 0.5;
   TestReplica replica(basic_settings(c));
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -12,7 +12,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-TEST(Settings, UnusableOnesAreNamed) {
+TEST(Settings, InvalidFieldIsNamed) {
   const auto message = [](auto change) {
     Settings s = basic_settings();
     s.tenants = {{1.0}};
@@ -49,7 +49,7 @@
   EXPECT_EQ(message([](Settings&) {}), "accepted");
 }
 
-TEST(Settings, NumbersOutOfRangeAreHarmless) {
+TEST(Settings, OutOfRangeIndexesInEventsAreTolerated) {
   TestReplica replica(basic_settings());
   replica.at(0, members(2));
   EXPECT_EQ(all<SendAttempt>(replica.request("a", 77, 88)).size(), 1U);
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(ColdFleet, OverloadsAndBurstsStayWithinTheBudget) {
+TEST(SlowStartFleet, OverloadAndBurstsStayWithinBudget) {
   for (const SlowStartSettings& settings : kSlowStartSettings) {
     for (const int replicas : {4, 30, 300}) {
       for (const int tier : {0, 1}) {
@@ -66,7 +66,7 @@
   }
 }
 
-TEST(ColdFleet, TroubledNeighboursAreNoReasonForMore) {
+TEST(SlowStartFleet, FaultyEndpointsDoNotRaiseBudget) {
   const std::pair<Fault, const char*> faults[] = {
       {Fault::kRejecting, "rejecting"}, {Fault::kFailing, "failing"}, {Fault::kUnresponsive, "unresponsive"},
       {Fault::kSlow, "slow"},           {Fault::kPausing, "pausing"}, {Fault::kUnreachable, "unreachable"}};
@@ -85,7 +85,7 @@
   }
 }
 
-TEST(ColdFleet, AReplicaCountThatIsNoLongerTrueChangesNothing) {
+TEST(SlowStartFleet, OutdatedReplicaCountDoesNotRaiseBudget) {
   for (const SlowStartSettings& settings : kSlowStartSettings) {
     for (const ReplicaSetChange change :
          {ReplicaSetChange::kHalved, ReplicaSetChange::kDoubled, ReplicaSetChange::kReplaced}) {
@@ -103,7 +103,7 @@
 }
 
 // Next to crowded servers a starting one responds as fast as they do, and is trusted with more.
-TEST(ColdFleet, CrowdedNeighboursMakeNoColdServerLookQuick) {
+TEST(SlowStartFleet, CrowdedEndpointsDoNotRaiseBudget) {
   const std::pair<Fault, double> faults[] = {{Fault::kPausing, 0.25}, {Fault::kSlow, 0.4}};
   for (const SlowStartSettings& settings :
        {kSlowStartSettings[2], SlowStartSettings{"half its capacity", 0.5, 6, 1.5, 2}}) {
@@ -123,7 +123,7 @@
 }
 
 // A starting server that gets next to nothing, for safety, never warms up.
-TEST(ColdFleet, StartingServersAreNotLeftIdle) {
+TEST(SlowStartFleet, StartingEndpointsAreNotLeftIdle) {
   for (const int replicas : {4, 30, 300}) {
     FleetScenario scenario = scenario_with(kSlowStartSettings[0], replicas, 4, 0);
     scenario.rate_per_weight = 20;
@@ -137,7 +137,7 @@
   }
 }
 
-TEST(ColdFleet, PlaysAreTheSameEveryTime) {
+TEST(SlowStartFleet, SameSeedGivesSameCounts) {
   FleetScenario scenario = scenario_with(kSlowStartSettings[0], 30, 8, 0);
   scenario.replica_set_change = ReplicaSetChange::kReplaced;
   const FleetCounts first = SimulatedFleet(scenario).run();
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -49,7 +49,7 @@
 }
 
 // Together they stay within what it can take.
-TEST(SlowStart, TheReplicasTogetherKeepTheBudget) {
+TEST(SlowStart, BudgetOfStartingEndpointIsShared) {
   const std::vector<double> sends = sends_to_cold(1);
   const double share = kReplicas * kRate / kServers;
   for (int step = 0; step < 48; ++step) {
@@ -69,7 +69,7 @@
 // Many replicas that each hold it to its sure capacity, and count its warmth in the draw as well, leave
 // a newcomer idle beside crowded servers. Once it answers as quickly as they do it gets more; slow, it does
 // not.
-TEST(SlowStart, OneThatAnswersAsQuicklyAsTheOthersGetsMore) {
+TEST(SlowStart, FastStartingEndpointGetsMoreRequests) {
   const auto late = [](const std::vector<double>& sends) {
     return std::count_if(sends.begin(), sends.end(), [](double at) { return at >= 114 && at < 120; });
   };
@@ -80,7 +80,7 @@
   EXPECT_GT(quick, 2 * slow);
 }
 
-TEST(SlowStart, AFleetThatIsAllColdStillServes) {
+TEST(SlowStart, RequestsAreServedWhileAllEndpointsStart) {
   Settings s = basic_settings();
   s.slow_start_capacity = 0.2;
   s.slow_start_duration = 10;
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -12,7 +12,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-TEST(Subset, ACrowdedZoneUsesOtherZonesToo) {
+TEST(Subset, CrowdedZoneSpillsOverToOtherZones) {
   const auto far_share = [](double near_answer) {
     Settings s = basic_settings();
     s.cross_zone_cost = 0.01;
@@ -37,7 +37,7 @@
 }
 
 // The one small server of a zone got all calls of its zone's replica while large ones elsewhere idled.
-TEST(Subset, AZoneTooSmallToChooseFromIsNotPreferred) {
+TEST(Subset, ZoneWithFewEndpointsIsNotPreferred) {
   const auto local_share = [](int local) {
     Settings s = basic_settings();
     s.cross_zone_cost = 0.01;
@@ -61,7 +61,7 @@
   EXPECT_GT(local_share(3), 0.9);
 }
 
-TEST(Subset, CoversEvenly) {
+TEST(Subset, SubsetsCoverEndpointsEvenly) {
   for (std::size_t replicas = 1; replicas <= 40; ++replicas) {
     for (std::size_t servers = 1; servers <= 45; servers += 4) {
       for (const std::size_t size : {3U, 8U}) {
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(Subset, MovesLittleWhenOneServerLeaves) {
+TEST(Subset, ChangesLittleWhenOneEndpointIsRemoved) {
   for (const int replicas : {3, 7, 12}) {
     for (int index = 0; index < replicas; ++index) {
       Settings s = basic_settings();
@@ -110,7 +110,7 @@
 }
 
 // With a subset of fixed size a lone replica would leave most of a large tier without work.
-TEST(Subset, FewReplicasStillReachEveryServer) {
+TEST(Subset, FewReplicasReachAllEndpoints) {
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
     Settings s = basic_settings();
--- a/tests/node_unit/endpoint_list_reader_test.cpp
+++ b/tests/node_unit/endpoint_list_reader_test.cpp
@@ -55,7 +55,7 @@
   return out;
 }
 
-TEST(EndpointListReader, TakesFieldsInAnyOrderAndListsCutAnywhere) {
+TEST(EndpointListReader, AcceptsFieldsInAnyOrderAndSplitAnywhere) {
   const std::string unknown = R"("more":{"hosts":[{"host":"}]\\"},7],"seq":"]"},)";
   const std::string odd = R"({"note":[{"a":"]}"}],"health":"leaving","dial":"10.0.0.2:1","host":"s}]\""})";
   const std::string seq = R"("seq":18446744073709551615)",
@@ -87,7 +87,7 @@
 }
 
 // None of these is a list, wherever it is spoilt, nor is any beginning of a good one.
-TEST(EndpointListReader, RejectsWhatIsNoList) {
+TEST(EndpointListReader, RejectsInvalidLists) {
   const std::string one = entry(1);
   const std::vector<std::string> spoilt = {
       std::string("seq"),
@@ -131,7 +131,7 @@
 }
 
 // However long a list is, it is read; the node's memory alone sets how many servers it may name.
-TEST(EndpointListReader, RejectsOnlyWhatTheMemoryCannotHold) {
+TEST(EndpointListReader, RejectsOnlyListsBeyondMemoryLimit) {
   const std::string long_list = R"({"hosts":[)" + entries(27000) + R"(],"whole":true,"seq":3})";
   EXPECT_EQ(read(long_list, 4096, 27000).at(0).endpoints.size(), 27000U);
   EXPECT_THROW(read(long_list, 4096, 26999), std::exception);
@@ -152,7 +152,7 @@
          R"("categories":[{"name":"c","aim":1,"giveUp":2,"effect":"safe"}]}})";
 }
 
-TEST(Configuration, HasItsKnownListReadByEntries) {
+TEST(NodeConfig, KnownEndpointListIsRead) {
   const auto known = [](const std::string& value) {
     return read_config(configuration("\"known\" : " + value + ",")).known_endpoints;
   };
--- a/tests/node_unit/poll_budget_test.cpp
+++ b/tests/node_unit/poll_budget_test.cpp
@@ -33,7 +33,7 @@
   return {got / kDay, longest};
 }
 
-TEST(PollBudget, HoldsInTheLongRunForWhatCanNotBeTaken) {
+TEST(PollBudget, BoundsLongRunTrafficOfInvalidLists) {
   for (const std::size_t bytes : {std::size_t{300}, std::size_t{30000}, std::size_t{4000000}}) {
     const auto [rate, longest] = useless_day(bytes, PollBudget::Waste::kInvalid);
     EXPECT_LE(rate, 29000 + (PollBudget::kBurst + static_cast<double>(bytes)) / 86400) << bytes;
@@ -45,7 +45,7 @@
 
 // Discovery that tells sound lists may tell a drain in the next one: however many bytes calls have cost that
 // were cut, or were told a whole list again, a wait and a call that hangs fit into the 6 s.
-TEST(PollBudget, NeverCostsTheTimeInWhichAChangeIsHeard) {
+TEST(PollBudget, BackoffStaysWithinNotificationTime) {
   for (const PollBudget::Waste why : {PollBudget::Waste::kTruncated, PollBudget::Waste::kRepeated}) {
     for (const std::size_t bytes : {std::size_t{300}, std::size_t{30000}, std::size_t{4000000}}) {
       const auto [rate, longest] = useless_day(bytes, why);
@@ -56,7 +56,7 @@
   }
 }
 
-TEST(PollBudget, LetsWhatCanNotBeTakenWaitLongerEachTimeAndCallsThatBringNothingNever) {
+TEST(PollBudget, BacksOffAfterInvalidListsButNotAfterFailedPolls) {
   PollBudget budget, jittered;
   double last = 0;
   for (int i = 0; i < 4; ++i) {
@@ -101,7 +101,7 @@
 
 // Whatever hangs at a moment from which discovery could be reached, one more call that hangs, and both waits
 // are over before a change counts as told. See the table in node/discovery/poll_timeouts.h.
-TEST(PollTimeouts, AChangeIsHeardBeforeItCountsAsTold) {
+TEST(PollTimeouts, ChangeIsReadBeforeItCountsAsNotified) {
   using namespace poll_timeouts;
   for (const bool pushed : {false, true}) {
     const double waits = pushed ? wait(true) : std::max(wait(false), longest_wait(10));
