--- a/tests/balancer/retry_depth_test.cpp
+++ b/tests/balancer/retry_depth_test.cpp
@@ -1,99 +1,132 @@
-// Retries over depth: what a request at the top costs the last of many tiers when calls fail. Every attempt
-// and every budget is the real module's.
+// Retries over depth: what a request to the first tier costs the last of many tiers when attempts fail. Every
+// attempt and every budget is the real module's.
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <cstdio>
 #include <optional>
+#include <vector>
 
-#include "support/chain_model.h"
+#include "support/balancer_fixture.h"
+#include "support/simulated_call_chain.h"
 
 namespace asterdrift::balancer {
 namespace {
 
 constexpr int kTiers = 28;
+constexpr double kRetryBudgetPerSuccess = 0.2;
+constexpr int kInitialRetryBudget = 5;     // retries of each replica
+constexpr double kConnectAllowance = 1.1;  // connection attempts included, so many times the bound
 
-enum class Where { kEachTier, kLastTier, kOneTier };
-const char* const kPlaces[] = {"each tier", "last tier", "one tier"};
+enum class FailingTiers { kEach, kLast, kMiddle };
+const char* const kFailingTiersNames[] = {"each tier", "last tier", "one tier"};
 
-struct Sort {
+struct FailureKind {
   Outcome outcome;
   const char* name;
 };
-constexpr Sort kSorts[] = {{Outcome::kServerError, "error"},
-                           {Outcome::kRejected, "refused"},
-                           {Outcome::kConnectionReset, "reset"},
-                           {Outcome::kTimedOut, "timed out"},
-                           {Outcome::kConnectFailed, "dial failed"}};
-
-struct Share {
-  double part;
+constexpr FailureKind kFailureKinds[] = {{Outcome::kServerError, "error"},
+                                         {Outcome::kRejected, "refused"},
+                                         {Outcome::kConnectionReset, "reset"},
+                                         {Outcome::kTimedOut, "timed out"},
+                                         {Outcome::kConnectFailed, "dial failed"}};
+
+struct FailureRate {
+  double fraction;  // of the attempts at a failing tier
   const char* name;
-  double most;  // attempts that reach a server of any tier for a request at the top
+  double max_attempts;  // that reach a server of any tier for one request to the first tier
 };
 
-ChainModel::Setup setup_of(Where where, Outcome outcome, double part, bool told) {
-  ChainModel::Setup setup;
-  setup.tiers = kTiers;
-  setup.rate = 30;
-  setup.seconds = 8;
-  setup.settings = basic_settings();
-  setup.settings.max_attempts = 5;
-  if (told) setup.settings.tenants = {{setup.rate}};
-  setup.failure = [=](int tier, double, double chance) {
-    const bool here =
-        where == Where::kEachTier || tier == (where == Where::kLastTier ? kTiers - 1 : kTiers / 2);
-    return here && chance < part ? std::optional(outcome) : std::nullopt;
+CallChainScenario scenario_of(FailingTiers failing, Outcome outcome, double fraction, bool has_quota) {
+  CallChainScenario scenario;
+  scenario.tiers = kTiers;
+  scenario.request_rate = 30;
+  scenario.duration = 8;
+  scenario.settings = basic_settings();
+  scenario.settings.max_attempts = 5;
+  if (has_quota) scenario.settings.tenants = {{scenario.request_rate}};
+  scenario.failure = [=](int tier, double, double chance) {
+    const int failing_tier = failing == FailingTiers::kLast ? kTiers - 1 : kTiers / 2;
+    const bool may_fail = failing == FailingTiers::kEach || tier == failing_tier;
+    return may_fail && chance < fraction ? std::optional(outcome) : std::nullopt;
   };
-  return setup;
+  return scenario;
 }
 
-// A row for each run, as a table: docs/CAPACITY.md takes its figures from them.
-void guard(Where where, const std::vector<Share>& shares) {
+// Attempts at the tier that got the most, for one request to the first tier.
+struct MaxAttempts {
+  double at_servers = 0;  // without those whose connection failed
+  double with_connect_failures = 0;
+};
+
+MaxAttempts max_attempts(const CallChainCounts& counts) {
+  int at_servers = 0;
+  int with_connect_failures = 0;
+  for (const CallChainTierCounts& tier : counts.tiers) {
+    at_servers = std::max(at_servers, tier.attempts - tier.connect_failures);
+    with_connect_failures = std::max(with_connect_failures, tier.attempts);
+  }
+  return {static_cast<double>(at_servers) / counts.requests,
+          static_cast<double>(with_connect_failures) / counts.requests};
+}
+
+// The words of this table are read by the capacity calculator, see docs/capacity-slopes.txt.
+void print_table_head() {
   std::printf("| place | sort | part | allowance | served | attempts at the last tier | most at a tier |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- |\n");
-  for (const bool told : {true, false}) {
-    for (const Share& share : shares) {
-      for (const Sort& sort : kSorts) {
-        if (!told && sort.outcome != Outcome::kServerError) continue;  // the limits differ, not the budgets
-        const ChainModel::Setup setup = setup_of(where, sort.outcome, share.part, told);
-        const ChainModel::Counts counts = ChainModel(setup).run();
-        int most_work = 0, most_dials = 0;
-        for (std::size_t tier = 0; tier < kTiers; ++tier) {
-          most_work = std::max(most_work, counts.sends[tier] - counts.dials[tier]);
-          most_dials = std::max(most_dials, counts.sends[tier]);
-        }
-        const double most = static_cast<double>(most_dials) / counts.requests;
-        std::printf("| %s | %s | %s | %s | %.3f | %.2f | %.2f |\n", kPlaces[static_cast<int>(where)],
-                    sort.name, share.name, told ? "told" : "untold",
-                    static_cast<double>(counts.served) / counts.requests, counts.attempts_at_last(), most);
-        // A fifth of what is answered, and five that each replica has saved up. What follows a failed dial is
-        // free: the dial has brought no server any work.
-        for (std::size_t tier = 0; tier < kTiers; ++tier) {
-          const int replicas = tier == 0 ? 1 : setup.servers;
-          EXPECT_LE(counts.further[tier], 0.2 * counts.answered[tier] + 5 * replicas + 0.01)
-              << sort.name << ", " << share.name << ", tier " << tier;
-        }
-        EXPECT_LE(static_cast<double>(most_work) / counts.requests, share.most)
-            << sort.name << ", " << share.name << (told ? ", told" : ", untold");
-        EXPECT_LE(most, share.most * 1.1) << "dials too: " << sort.name << ", " << share.name;
+}
+
+void print_table_row(FailingTiers failing, const FailureKind& kind, const FailureRate& rate, bool has_quota,
+                     const CallChainCounts& counts) {
+  std::printf("| %s | %s | %s | %s | %.3f | %.2f | %.2f |\n", kFailingTiersNames[static_cast<int>(failing)],
+              kind.name, rate.name, has_quota ? "told" : "untold",
+              static_cast<double>(counts.succeeded) / counts.requests,
+              counts.attempts_at_last_tier_per_request(), max_attempts(counts).with_connect_failures);
+}
+
+void expect_bounded_attempts(FailingTiers failing, const FailureKind& kind, const FailureRate& rate,
+                             bool has_quota) {
+  const CallChainScenario scenario = scenario_of(failing, kind.outcome, rate.fraction, has_quota);
+  const CallChainCounts counts = SimulatedCallChain(scenario).run();
+  print_table_row(failing, kind, rate, has_quota, counts);
+  // Retries after a connect failure are free: the connection attempt has brought no server any work.
+  for (std::size_t tier = 0; tier < kTiers; ++tier) {
+    const int replicas = tier == 0 ? 1 : scenario.servers_per_tier;
+    EXPECT_LE(counts.tiers[tier].retries,
+              kRetryBudgetPerSuccess * counts.tiers[tier].succeeded + kInitialRetryBudget * replicas + 0.01)
+        << kind.name << ", " << rate.name << ", tier " << tier;
+  }
+  EXPECT_LE(max_attempts(counts).at_servers, rate.max_attempts)
+      << kind.name << ", " << rate.name << (has_quota ? ", with quota" : ", without quota");
+  EXPECT_LE(max_attempts(counts).with_connect_failures, rate.max_attempts * kConnectAllowance)
+      << "connect failures included: " << kind.name << ", " << rate.name;
+}
+
+void expect_bounded_attempts(FailingTiers failing, const std::vector<FailureRate>& rates) {
+  print_table_head();
+  for (const bool has_quota : {true, false}) {
+    for (const FailureRate& rate : rates) {
+      for (const FailureKind& kind : kFailureKinds) {
+        // Without a quota the rate limits differ, not the retry budgets: one kind of failure is enough.
+        if (!has_quota && kind.outcome != Outcome::kServerError) continue;
+        expect_bounded_attempts(failing, kind, rate, has_quota);
       }
     }
   }
 }
 
 TEST(Depth, AttemptsAreBoundedWhenEachTierFails) {
-  guard(Where::kEachTier, {{0.1, "tenth", 1.25}, {0.5, "half", 1.1}, {1, "all", 1.1}});
+  expect_bounded_attempts(FailingTiers::kEach, {{0.1, "tenth", 1.25}, {0.5, "half", 1.1}, {1, "all", 1.1}});
 }
 
-// A budget that grows with what is sent, whatever becomes of it, grows with the attempts of the tier
-// above: 1.2 to the power of the depth. Over these 8 s most of what is beyond one is saved up from the start.
+// A budget that grew with the attempts sent, whatever becomes of them, would grow with the attempts of the
+// tier above: 1.2 to the power of the depth. Over these 8 s most of what exceeds one is the initial budget.
 TEST(Depth, AttemptsAreBoundedWhenLastTierFails) {
-  guard(Where::kLastTier, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2.65}});
+  expect_bounded_attempts(FailingTiers::kLast, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2.65}});
 }
 
 TEST(Depth, AttemptsAreBoundedWhenMiddleTierFails) {
-  guard(Where::kOneTier, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2}});
+  expect_bounded_attempts(FailingTiers::kMiddle, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2}});
 }
 
 }  // namespace
