--- /dev/null
+++ b/scale/capacity/endpoint_list_calculations.cpp
@@ -0,0 +1,108 @@
+// What a node stores and receives for its endpoint list.
+#include <algorithm>
+#include <cmath>
+#include <string>
+#include <utility>
+
+#include "scale/capacity/assumptions.h"
+#include "scale/capacity/calculations.h"
+#include "scale/capacity/value_format.h"
+
+namespace asterdrift::scale::capacity {
+namespace {
+
+constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr double kPercentPerMicrosecondRate = 1e4;  // a rate times us, over this, is percent of a core
+
+// The list of one node.
+struct ListScope {
+  std::string name;                // the prefix of its keys
+  double servers;                  // on the list
+  double largest_service_servers;  // of these, in the fleet's largest service
+};
+
+class ListCalculation {
+ public:
+  ListCalculation(Results& results, const Fleet& fleet, const Measurements& measurements, ListScope scope)
+      : results_(results),
+        scope_(std::move(scope)),
+        idle_processor_(measurements.value("idle_cpu")),
+        change_us_(CostCurve(measurements, "change_us").at(scope_.servers)),
+        list_us_(CostCurve(measurements, "list_us").at(scope_.servers)),
+        resident_mb_(CostCurve(measurements, "resident_mb").at(scope_.servers)),
+        change_rate_(fleet.change_rate),
+        fleet_fraction_(scope_.servers / assumption::kServers.value) {}
+
+  void add_all() {
+    add_list();
+    add_steady_state("mean", 1.0);
+    add_steady_state("busy", assumption::kBusiestMinuteFactor.value);
+    add_burst("release", assumption::kReleaseFraction.value * scope_.largest_service_servers);
+    add_burst("zone", scope_.servers / assumption::kZones.value);
+    add_burst("cut", change_rate_ * fleet_fraction_ * assumption::kPartitionTime.value);
+  }
+
+ private:
+  void add(const std::string& key, const std::string& text) { results_.add(scope_.name + "." + key, text); }
+
+  void add_list() {
+    const double bytes = list_bytes(scope_.servers);
+    add("servers", format_number(std::round(scope_.servers)));
+    add("list", format_bytes(bytes));
+    add("list_time", format_seconds(bytes / kBandwidthLimit));
+    add("memory", format_with_unit(resident_mb_, "MB"));
+    add("memory_left", format_headroom(resident_mb_, assumption::kMemoryLimit.value));
+    add("list_cpu", format_seconds(list_us_ / kMicrosecondsPerSecond));
+  }
+
+  // Changes at a multiple of their mean rate, and the empty lines of the watch.
+  void add_steady_state(const std::string& when, double factor) {
+    const double heartbeat_bytes =
+        (1 + assumption::kMessageOverhead.value) / assumption::kHeartbeatPeriod.value;
+    const double rate = change_rate_ * fleet_fraction_ * factor;
+    const double bytes = rate * change_message_bytes() + heartbeat_bytes;
+    const double processor = idle_processor_ + rate * change_us_ / kPercentPerMicrosecondRate;
+    add(when + "_changes", format_number(rate) + "/s");
+    add(when + "_messages", format_number(rate + 1 / assumption::kHeartbeatPeriod.value) + "/s");
+    add(when + "_bytes", format_bytes(bytes, "/s"));
+    add(when + "_bytes_left", format_headroom(bytes, kBandwidthLimit));
+    add(when + "_cpu", format_with_unit(processor, "% of a core"));
+    add(when + "_cpu_left", format_headroom(processor, assumption::kProcessorLimit.value));
+  }
+
+  // Many entries at once: each as a change of its own, or all in one message.
+  void add_burst(const std::string& event, double entries) {
+    const double bytes = entries * change_message_bytes();
+    const double processor_time = entries * change_us_ / kMicrosecondsPerSecond;
+    const double list_time = list_us_ / kMicrosecondsPerSecond;
+    add(event + "_entries", format_number(std::round(entries)));
+    add(event + "_bytes", format_bytes(bytes));
+    add(event + "_bytes_one", format_bytes(batch_message_bytes(entries)));
+    add(event + "_bytes_time", format_seconds(bytes / kBandwidthLimit));
+    add(event + "_cpu", format_seconds(processor_time));
+    add(event + "_cpu_one", format_seconds(std::min(processor_time, list_time)));
+  }
+
+  static constexpr double kBandwidthLimit = assumption::kBandwidthLimit.value * kBytesPerKilobyte;
+
+  Results& results_;
+  ListScope scope_;
+  double idle_processor_;  // percent of a core
+  double change_us_, list_us_, resident_mb_;
+  double change_rate_, fleet_fraction_;
+};
+
+}  // namespace
+
+void add_endpoint_lists(Results& results, const Fleet& fleet, const Measurements& measurements) {
+  const double largest_service = fleet.service_sizes.front();
+  const ListScope scopes[] = {
+      {"all", assumption::kServers.value, largest_service},
+      {"largest", fleet.largest_services_servers, largest_service},
+      {"sized", fleet.sized_services_servers, largest_service * fleet.largest_service_caller_fraction},
+      {"even", fleet.even_services_servers,
+       largest_service * assumption::kServicesPerNode.value / assumption::kServices.value}};
+  for (const ListScope& scope : scopes) ListCalculation(results, fleet, measurements, scope).add_all();
+}
+
+}  // namespace asterdrift::scale::capacity
