--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -1,14 +1,14 @@
-// Slopes of hollow nodes before the stand-in discovery.
+// Slopes of simulated nodes before the stand-in discovery.
 #include <boost/asio/io_context.hpp>
 #include <chrono>
 #include <cstdio>
 #include <functional>
 #include <memory>
 
-#include "scale/hollow_node.h"
 #include "scale/process.h"
 #include "scale/report.h"
 #include "scale/slopes.h"
+#include "scale/stand_ins/simulated_node.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -37,7 +37,7 @@
   struct Trial {
     std::size_t servers;
     std::unique_ptr<StandInDiscovery> discovery;
-    std::unique_ptr<HollowNode> node;
+    std::unique_ptr<SimulatedNode> node;
     StandInDiscovery::Counts start, change;
     bool ready = false;
   };
@@ -51,13 +51,13 @@
     setup.discovery_port = trial->discovery->port();
     setup.copies = servers;
     setup.pushed = !options.flag("asked");
-    trial->node = std::make_unique<HollowNode>(io, config_text(setup));
+    trial->node = std::make_unique<SimulatedNode>(io, config_text(setup));
     trial->node->start();
-    trial->ready = run_until(io, 3, [&] { return trial->node->knows_servers(); });
+    trial->ready = run_until(io, 3, [&] { return trial->node->has_endpoints(); });
     run_until(io, 0.2, [] { return false; });
     trial->start = trial->discovery->counts();
     trial->discovery->set_draining(servers / 2, true);
-    run_until(io, 0.2, [&] { return trial->node->seq() == trial->discovery->seq(); });
+    run_until(io, 0.2, [&] { return trial->node->list_version() == trial->discovery->seq(); });
     trial->change = trial->discovery->counts();
     trials.push_back(std::move(trial));
   }
@@ -85,9 +85,10 @@
 void spread_slope(const Options& options) {
   const auto servers = static_cast<std::size_t>(options.number("servers", 70));
   const int repeats = static_cast<int>(options.number("repeats", 11));
-  Report report("time from a change until N hollow nodes have acted on it, ms; and of all starting at once",
-                {"nodes", "half of them", "last, median", "last, worst", "last ready", "start bytes",
-                 "change bytes", "sent to a drained one", "this process MB"});
+  Report report(
+      "time from a change until N simulated nodes have acted on it, ms; and of all starting at once",
+      {"nodes", "half of them", "last, median", "last, worst", "last ready", "start bytes", "change bytes",
+       "sent to a drained one", "this process MB"});
   const std::size_t descriptors = raise_descriptors();
   for (const std::size_t nodes : options.sizes("nodes", {10, 100, 1000, 4000})) {
     if (nodes + 100 > descriptors) throw std::runtime_error("too few descriptors for so many nodes");
@@ -97,10 +98,10 @@
     std::size_t wrong = 0;
     std::string drained;
     std::vector<double> acted;
-    std::vector<std::unique_ptr<HollowNode>> all;
-    const auto act = [&](HollowNode& node) {
-      if (node.seq() != wanted) return;
-      if (const std::string server = node.call(); server == drained && !drained.empty()) ++wrong;
+    std::vector<std::unique_ptr<SimulatedNode>> all;
+    const auto act = [&](SimulatedNode& node) {
+      if (node.list_version() != wanted) return;
+      if (const std::string server = node.handle_request(); server == drained && !drained.empty()) ++wrong;
       acted.push_back(seconds());
     };
     for (std::size_t i = 0; i < nodes; ++i) {
@@ -110,7 +111,7 @@
       setup.copies = nodes;
       setup.pushed = !options.flag("asked");
       setup.seed = i + 1;
-      all.push_back(std::make_unique<HollowNode>(io, config_text(setup), act));
+      all.push_back(std::make_unique<SimulatedNode>(io, config_text(setup), act));
     }
     const double began = seconds();
     for (const auto& node : all) node->start();
@@ -142,7 +143,7 @@
   report.note(std::to_string(servers) + " servers on the list, " + std::to_string(repeats) +
               " changes; bytes are those of one node. Each node calls as soon as its module");
   report.note(
-      "has been told. All hollow nodes share one thread, so their own work adds up; a real fleet's does "
+      "has been told. All simulated nodes share one thread, so their own work adds up; a real fleet's does "
       "not.");
   report.print(options.text("json", ""));
 }
--- a/scale/module_guard_test.cpp
+++ b/scale/module_guard_test.cpp
@@ -15,9 +15,9 @@
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
 #include "scale/allocations.h"
-#include "scale/hollow_node.h"
 #include "scale/process.h"
 #include "scale/stand_in_discovery.h"
+#include "scale/stand_ins/simulated_node.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -36,7 +36,7 @@
 // The module with a list, its servers well or refusing connections.
 struct Module {
   explicit Module(std::size_t servers)
-      : list(update_of(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones))),
+      : list(to_endpoint_update(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones))),
         balancer(settings_for(servers), 1) {
     actions.reserve(64);
     balancer.handle(now, list, actions);
@@ -137,8 +137,8 @@
       settings.tenants = {balancer::Tenant{allowance}};
       tiers.emplace_back(settings, seed + tier);
       std::vector<balancer::Action> none;
-      tiers.back().handle(0, update_of(node::config::read_endpoint_list(whole_list(1, 8, kDialPort), kZones)),
-                          none);
+      tiers.back().handle(
+          0, to_endpoint_update(node::config::read_endpoint_list(whole_list(1, 8, kDialPort), kZones)), none);
     }
   }
 
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -8,10 +8,10 @@
 #include <unordered_map>
 
 #include "scale/allocations.h"
-#include "scale/hollow_node.h"
 #include "scale/process.h"
 #include "scale/report.h"
 #include "scale/slopes.h"
+#include "scale/stand_ins/simulated_node.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -60,7 +60,7 @@
 }
 
 balancer::EndpointUpdate full(std::size_t servers) {
-  return update_of(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones));
+  return to_endpoint_update(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones));
 }
 
 std::string us(double s) { return figure(s * 1e6, 2); }
@@ -73,7 +73,7 @@
                  "read list", "list bytes"});
   for (const std::size_t servers : options.sizes("sizes", kSizes)) {
     const std::string text = whole_list(1, servers, kDialPort);
-    const auto first = update_of(node::config::read_endpoint_list(text, kZones));
+    const auto first = to_endpoint_update(node::config::read_endpoint_list(text, kZones));
     std::vector<balancer::Action> actions;
     double now = 100;
     const auto starts = costs_of(5, [&](int) {
@@ -262,7 +262,7 @@
       const auto list = node::config::read_endpoint_list(text, kZones);
       read = allocations().live - before_read;
       read_peak = allocations().peak - before_read;
-      first = update_of(list);
+      first = to_endpoint_update(list);
     }
     std::vector<balancer::Action> actions;
     const balancer::Settings settings = settings_for(servers, options, 1);
--- a/scale/polling_guard_test.cpp
+++ b/scale/polling_guard_test.cpp
@@ -15,9 +15,9 @@
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
 #include "scale/allocations.h"
-#include "scale/hollow_node.h"
 #include "scale/process.h"
 #include "scale/stand_in_discovery.h"
+#include "scale/stand_ins/simulated_node.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -32,8 +32,8 @@
   return node::config::read_config(config_text(setup)).settings;
 }
 
-// One discovery and hollow nodes before it, all on one thread. Waits are for events; the limit only ends what
-// would hang.
+// One discovery and simulated nodes before it, all on one thread. Waits are for events; the limit only ends
+// what would hang.
 struct Fleet {
   Fleet(std::size_t servers, std::size_t count, bool pushed) : discovery(io, servers, kDialPort) {
     for (std::size_t i = 0; i < count; ++i) {
@@ -43,7 +43,7 @@
       setup.copies = count;
       setup.pushed = pushed;
       setup.seed = i + 1;
-      nodes.push_back(std::make_unique<HollowNode>(io, config_text(setup)));
+      nodes.push_back(std::make_unique<SimulatedNode>(io, config_text(setup)));
     }
     for (const auto& node : nodes) node->start();
     until([&] { return all_at(discovery.seq()); });
@@ -59,16 +59,17 @@
   }
   std::uint64_t lost() const {
     std::uint64_t out = 0;
-    for (const auto& node : nodes) out += node->counts().failures;
+    for (const auto& node : nodes) out += node->counts().failed_watches;
     return out;
   }
   bool all_at(std::uint64_t seq) const {
-    return std::all_of(nodes.begin(), nodes.end(), [=](const auto& node) { return node->seq() == seq; });
+    return std::all_of(nodes.begin(), nodes.end(),
+                       [=](const auto& node) { return node->list_version() == seq; });
   }
 
   boost::asio::io_context io{1};
   StandInDiscovery discovery;
-  std::vector<std::unique_ptr<HollowNode>> nodes;
+  std::vector<std::unique_ptr<SimulatedNode>> nodes;
 };
 
 std::uint64_t lists(const StandInDiscovery::Counts& counts) { return counts.whole_lists + counts.changes; }
@@ -99,7 +100,7 @@
       EXPECT_EQ(counts.requests, 1U) << servers;
       EXPECT_EQ(lists(counts), 1U) << servers;
       EXPECT_LE(counts.bytes, whole_list(1, servers, kDialPort).size() + 200) << servers;
-      EXPECT_EQ(fleet.nodes[0]->counts().whole_lists, 1U) << servers;
+      EXPECT_EQ(fleet.nodes[0]->counts().snapshots, 1U) << servers;
       return std::uint64_t{0};
     });
   }
@@ -119,7 +120,7 @@
       EXPECT_EQ(after.whole_lists, before.whole_lists) << servers;
       EXPECT_EQ(after.changes - before.changes, 20U) << servers;
       EXPECT_LE(after.bytes - before.bytes, 20U * 200) << servers;
-      EXPECT_EQ(fleet.nodes[0]->counts().changes, 20U) << servers;
+      EXPECT_EQ(fleet.nodes[0]->counts().incremental_lists, 20U) << servers;
       return std::uint64_t{0};
     });
   }
@@ -157,9 +158,9 @@
     std::set<std::string> used;
     std::uint64_t sent = 0;
     for (const auto& node : fleet.nodes) {
-      for (int i = 0; i < 10; ++i) used.insert(node->call());
-      EXPECT_EQ(node->counts().changes, 1U);
-      sent += node->counts().sends;
+      for (int i = 0; i < 10; ++i) used.insert(node->handle_request());
+      EXPECT_EQ(node->counts().incremental_lists, 1U);
+      sent += node->counts().attempts;
     }
     EXPECT_EQ(sent, 10 * fleet.nodes.size());
     EXPECT_EQ(used.size(), 19U);
@@ -202,7 +203,7 @@
   NodeSetup setup;
   setup.discovery_port = discovery.port();
   setup.pushed = GetParam();
-  HollowNode node(io, config_text(setup));
+  SimulatedNode node(io, config_text(setup));
   node.start();
   const auto until = [&](const auto& holds) {
     for (const double from = seconds(); !holds() && seconds() - from < 60;) {
@@ -217,10 +218,10 @@
     const double wait = node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
     EXPECT_GE(asked[i + 1] - asked[i], wait / 2) << i;
   }
-  EXPECT_FALSE(node.knows_servers());
+  EXPECT_FALSE(node.has_endpoints());
   discovery.set_mode(StandInDiscovery::Mode::kWell);
-  until([&] { return node.knows_servers(); });
-  EXPECT_TRUE(node.knows_servers());
+  until([&] { return node.has_endpoints(); });
+  EXPECT_TRUE(node.has_endpoints());
 }
 }  // namespace
 }  // namespace asterdrift::scale
--- a/scale/process.h
+++ b/scale/process.h
@@ -84,7 +84,7 @@
   std::unique_ptr<Child> child_;
 };
 
-// How a node, hollow or real, is set up.
+// How a node, simulated or real, is set up.
 struct NodeSetup {
   int discovery_port = 0;
   std::size_t position = 0, copies = 1;
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -34,7 +34,7 @@
      {"sizes", "seconds", "asked!"}},
     {"spread",
      spread_slope,
-     "time from a change until the last of N hollow nodes has acted on it",
+     "time from a change until the last of N simulated nodes has acted on it",
      {"nodes", "servers", "repeats", "asked!"}},
     {"idle",
      idle_slope,
--- /dev/null
+++ b/scale/stand_ins/simulated_node.cpp
@@ -0,0 +1,101 @@
+#include "scale/stand_ins/simulated_node.h"
+
+#include <algorithm>
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "node/base/clock.h"
+
+namespace asterdrift::scale {
+namespace {
+
+constexpr double kRequestTimeout = 5;       // s
+constexpr double kResponseLatency = 0.001;  // s
+
+}  // namespace
+
+balancer::EndpointUpdate to_endpoint_update(const node::config::EndpointList& list) {
+  balancer::EndpointUpdate update;
+  update.form = list.is_snapshot ? balancer::EndpointUpdate::Form::kSnapshot
+                                 : balancer::EndpointUpdate::Form::kIncremental;
+  for (const node::config::ListedEndpoint& listed : list.endpoints) {
+    update.endpoints.push_back(listed.endpoint);
+  }
+  return update;
+}
+
+SimulatedNode::SimulatedNode(boost::asio::io_context& io, const std::string& config,
+                             ListHandler on_list_applied)
+    : io_(io),
+      config_(node::config::read_config(config)),
+      balancer_(config_.settings, config_.seed),
+      discovery_(io, config_,
+                 {[this](const node::config::EndpointList& list) { handle_list(list); },
+                  [this] { handle_failed_watch(); }}),
+      on_list_applied_(std::move(on_list_applied)) {}
+
+void SimulatedNode::start() {
+  handle(balancer::Started{});
+  if (!config_.settings.requires_watch) discovery_.watch();
+}
+
+bool SimulatedNode::has_endpoints() const { return balancer_.endpoints(node::base::now()).listed > 0; }
+
+std::string SimulatedNode::handle_request() {
+  balancer::Request request;
+  request.id = std::to_string(++last_request_);
+  request.time_left = kRequestTimeout;
+  attempted_endpoint_.clear();
+  handle(request);
+  const std::string endpoint = attempted_endpoint_;
+  if (!endpoint.empty()) {
+    handle(balancer::AttemptResult{request.id, 0, balancer::Outcome::kSuccess, kResponseLatency, true});
+  }
+  return endpoint;
+}
+
+void SimulatedNode::handle_list(const node::config::EndpointList& list) {
+  (list.is_snapshot ? counts_.snapshots : counts_.incremental_lists) += 1;
+  list_version_ = list.version;
+  handle(to_endpoint_update(list));
+  if (on_list_applied_) on_list_applied_(*this);
+}
+
+void SimulatedNode::handle_failed_watch() {
+  counts_.failed_watches += 1;
+  balancer::EndpointUpdate failed;
+  failed.form = balancer::EndpointUpdate::Form::kWatchFailed;
+  handle(failed);
+}
+
+void SimulatedNode::handle(const balancer::Event& event) {
+  std::vector<balancer::Action> actions;
+  balancer_.handle(node::base::now(), event, actions);
+  for (const balancer::Action& action : actions) carry_out(action);
+}
+
+void SimulatedNode::carry_out(const balancer::Action& action) {
+  if (std::holds_alternative<balancer::WatchEndpoints>(action)) {
+    counts_.watches += 1;
+    discovery_.watch();
+  } else if (const auto* timer = std::get_if<balancer::SetTimer>(&action)) {
+    start_timer(*timer);
+  } else if (const auto* attempt = std::get_if<balancer::SendAttempt>(&action)) {
+    counts_.attempts += 1;
+    attempted_endpoint_ = attempt->endpoint;
+  }
+}
+
+void SimulatedNode::start_timer(const balancer::SetTimer& timer) {
+  const std::chrono::duration<double> delay(std::max(0.0, timer.at - node::base::now()));
+  const auto steady_timer = std::make_shared<boost::asio::steady_timer>(io_);
+  steady_timer->expires_after(std::chrono::duration_cast<std::chrono::nanoseconds>(delay));
+  steady_timer->async_wait([this, steady_timer, token = timer.token](const boost::system::error_code& error) {
+    if (!error) handle(balancer::TimerFired{token});
+  });
+}
+
+}  // namespace asterdrift::scale
--- /dev/null
+++ b/scale/stand_ins/simulated_node.h
@@ -0,0 +1,62 @@
+// A node without sockets to clients and servers: the real balancer and the real watch on discovery, many in
+// one process. Requests and their outcomes are events.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <cstdint>
+#include <functional>
+#include <string>
+
+#include "asterdrift/balancer/balancer.h"
+#include "node/config/node_config.h"
+#include "node/discovery/discovery_client.h"
+
+namespace asterdrift::scale {
+
+class SimulatedNode {
+ public:
+  struct Counts {
+    std::uint64_t snapshots = 0;          // received
+    std::uint64_t incremental_lists = 0;  // received
+    std::uint64_t failed_watches = 0;
+    std::uint64_t watches = 0;   // that the balancer has asked for
+    std::uint64_t attempts = 0;  // that the balancer has sent
+  };
+  using ListHandler = std::function<void(SimulatedNode&)>;
+
+  // `on_list_applied` is called after the balancer has applied a list and its actions are done.
+  SimulatedNode(boost::asio::io_context& io, const std::string& config, ListHandler on_list_applied = {});
+
+  void start();
+  const Counts& counts() const { return counts_; }
+
+  // Version of the last list.
+  std::uint64_t list_version() const { return list_version_; }
+  bool has_endpoints() const;
+
+  // Handles one request, whose attempt succeeds at once. Returns the endpoint of that attempt; empty where
+  // the request was rejected.
+  std::string handle_request();
+
+ private:
+  void handle(const balancer::Event& event);
+  void handle_list(const node::config::EndpointList& list);
+  void handle_failed_watch();
+  void carry_out(const balancer::Action& action);
+  void start_timer(const balancer::SetTimer& timer);
+
+  boost::asio::io_context& io_;
+  node::config::NodeConfig config_;
+  balancer::Balancer balancer_;
+  node::discovery::DiscoveryClient discovery_;
+  ListHandler on_list_applied_;
+  Counts counts_;
+  std::uint64_t list_version_ = 0;
+  std::uint64_t last_request_ = 0;
+  std::string attempted_endpoint_;  // of the request that is being handled
+};
+
+// The balancer's event for a list.
+balancer::EndpointUpdate to_endpoint_update(const node::config::EndpointList& list);
+
+}  // namespace asterdrift::scale
