--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -38,7 +38,7 @@
     std::size_t servers;
     std::unique_ptr<StandInDiscovery> discovery;
     std::unique_ptr<SimulatedNode> node;
-    StandInDiscovery::Counts start, change;
+    DiscoveryCounts start, change;
     bool ready = false;
   };
   boost::asio::io_context io(1);
@@ -57,23 +57,23 @@
     run_until(io, 0.2, [] { return false; });
     trial->start = trial->discovery->counts();
     trial->discovery->set_draining(servers / 2, true);
-    run_until(io, 0.2, [&] { return trial->node->list_version() == trial->discovery->seq(); });
+    run_until(io, 0.2, [&] { return trial->node->list_version() == trial->discovery->version(); });
     trial->change = trial->discovery->counts();
     trials.push_back(std::move(trial));
   }
-  std::vector<StandInDiscovery::Counts> before;
+  std::vector<DiscoveryCounts> before;
   before.reserve(trials.size());
   for (const auto& trial : trials) before.push_back(trial->discovery->counts());
   run_until(io, idle, [] { return false; });
   for (std::size_t i = 0; i < trials.size(); ++i) {
     const Trial& t = *trials[i];
     const auto after = t.discovery->counts();
-    const auto lists = [](const StandInDiscovery::Counts& c) { return c.whole_lists + c.changes; };
+    const auto lists = [](const DiscoveryCounts& c) { return c.lists(); };
     report.row({std::to_string(t.servers), bytes_text(t.start.bytes), std::to_string(lists(t.start)),
                 std::to_string(t.start.requests), bytes_text(t.change.bytes - t.start.bytes),
                 std::to_string(lists(t.change) - lists(t.start)), bytes_text(after.bytes - before[i].bytes),
                 std::to_string(lists(after) - lists(before[i])),
-                std::to_string(after.empty_lines - before[i].empty_lines),
+                std::to_string(after.heartbeats - before[i].heartbeats),
                 std::to_string(after.requests - before[i].requests), t.ready ? "yes" : "no"});
   }
   report.note("idle: " + figure(idle, 0) + " s without a change. Lists are " +
@@ -124,7 +124,7 @@
       acted.clear();
       wanted += 1;
       const std::size_t place = static_cast<std::size_t>(i / 2) % servers;
-      drained = i % 2 == 0 ? server_name(place) : "";
+      drained = i % 2 == 0 ? endpoint_name(place) : "";
       const double at = discovery.set_draining(place, i % 2 == 0);
       if (!run_until(io, kLimit, [&] { return acted.size() >= nodes; })) break;
       halves.push_back(acted[nodes / 2] - at);
--- a/scale/module_guard_test.cpp
+++ b/scale/module_guard_test.cpp
@@ -16,8 +16,8 @@
 #include "node/discovery/poll_timeouts.h"
 #include "scale/allocations.h"
 #include "scale/process.h"
-#include "scale/stand_in_discovery.h"
 #include "scale/stand_ins/simulated_node.h"
+#include "scale/stand_ins/stand_in_discovery.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -36,7 +36,8 @@
 // The module with a list, its servers well or refusing connections.
 struct Module {
   explicit Module(std::size_t servers)
-      : list(to_endpoint_update(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones))),
+      : list(to_endpoint_update(
+            node::config::read_endpoint_list(snapshot_text(1, servers, kDialPort), kZones))),
         balancer(settings_for(servers), 1) {
     actions.reserve(64);
     balancer.handle(now, list, actions);
@@ -138,7 +139,8 @@
       tiers.emplace_back(settings, seed + tier);
       std::vector<balancer::Action> none;
       tiers.back().handle(
-          0, to_endpoint_update(node::config::read_endpoint_list(whole_list(1, 8, kDialPort), kZones)), none);
+          0, to_endpoint_update(node::config::read_endpoint_list(snapshot_text(1, 8, kDialPort), kZones)),
+          none);
     }
   }
 
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -60,7 +60,7 @@
 }
 
 balancer::EndpointUpdate full(std::size_t servers) {
-  return to_endpoint_update(node::config::read_endpoint_list(whole_list(1, servers, kDialPort), kZones));
+  return to_endpoint_update(node::config::read_endpoint_list(snapshot_text(1, servers, kDialPort), kZones));
 }
 
 std::string us(double s) { return figure(s * 1e6, 2); }
@@ -72,7 +72,7 @@
                 {"servers", "change median", "change worst", "first list", "same list again", "read change",
                  "read list", "list bytes"});
   for (const std::size_t servers : options.sizes("sizes", kSizes)) {
-    const std::string text = whole_list(1, servers, kDialPort);
+    const std::string text = snapshot_text(1, servers, kDialPort);
     const auto first = to_endpoint_update(node::config::read_endpoint_list(text, kZones));
     std::vector<balancer::Action> actions;
     double now = 100;
@@ -90,7 +90,7 @@
       module.handle(now += 0.1, change, actions);
     });
     const auto again = costs_of(11, [&](int) { module.handle(now += 0.1, first, actions); });
-    const std::string one = change_of(2, servers / 2, kDialPort, "leaving");
+    const std::string one = change_text(2, servers / 2, kDialPort, "leaving");
     const auto read_one = costs_of(1001, [&](int) { node::config::read_endpoint_list(one, kZones); });
     const auto read_all = costs_of(11, [&](int) { node::config::read_endpoint_list(text, kZones); });
     report.row({std::to_string(servers), us(median(changes)), us(changes.back()), us(median(starts)),
@@ -253,7 +253,7 @@
                 {"servers", "module", "module a server", "most amid a list", "list read", "most amid reading",
                  "after a change", "a change allocates", "in so many calls"});
   for (const std::size_t servers : options.sizes("sizes", kSizes)) {
-    const std::string text = whole_list(1, servers, kDialPort);
+    const std::string text = snapshot_text(1, servers, kDialPort);
     const std::size_t before_read = allocations().live;
     reset_peak();
     std::size_t read = 0, read_peak = 0;
--- a/scale/node_slopes.cpp
+++ b/scale/node_slopes.cpp
@@ -58,16 +58,16 @@
 }
 
 void useless_slope(const Options& options) {
-  using Mode = StandInDiscovery::Mode;
+  using Mode = DiscoveryMode;
   const double time = options.number("seconds", 20);
   const std::string program = options.text("node", NODE);
   struct Kind {
     std::string name;
     Mode mode;
   };
-  const std::vector<Kind> kinds = {{"whole list", Mode::kWell}, {"one entry spoilt", Mode::kSpoil},
-                                   {"list cut", Mode::kCut},    {"503", Mode::kUnavailable},
-                                   {"silent", Mode::kHang},     {"refused", Mode::kRefuse}};
+  const std::vector<Kind> kinds = {{"whole list", Mode::kHealthy}, {"one entry spoilt", Mode::kCorrupt},
+                                   {"list cut", Mode::kTruncate},  {"503", Mode::kUnavailable},
+                                   {"silent", Mode::kHang},        {"refused", Mode::kRefuse}};
   Report report("what a node asks of discovery from its start on, while discovery answers so",
                 {"servers", "lists are", "discovery answers", "asks/s", "KB/s", "% of a core of the node",
                  "resident MB", "ready", "ready after it is mended s"});
@@ -88,9 +88,9 @@
         const auto counts = discovery.counts();
         const bool ready = node.ready();
         std::string mended = "-";
-        if (kind.mode != Mode::kWell) {
+        if (kind.mode != Mode::kHealthy) {
           const double at = seconds();
-          discovery.set_mode(Mode::kWell);
+          discovery.set_mode(Mode::kHealthy);
           mended = node.ready_within(kReadyLimit) ? figure(seconds() - at, 3) : "no";
         }
         report.row(
--- a/scale/polling_guard_test.cpp
+++ b/scale/polling_guard_test.cpp
@@ -16,8 +16,8 @@
 #include "node/discovery/poll_timeouts.h"
 #include "scale/allocations.h"
 #include "scale/process.h"
-#include "scale/stand_in_discovery.h"
 #include "scale/stand_ins/simulated_node.h"
+#include "scale/stand_ins/stand_in_discovery.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -46,7 +46,7 @@
       nodes.push_back(std::make_unique<SimulatedNode>(io, config_text(setup)));
     }
     for (const auto& node : nodes) node->start();
-    until([&] { return all_at(discovery.seq()); });
+    until([&] { return all_at(discovery.version()); });
   }
 
   template <class Condition>
@@ -72,7 +72,7 @@
   std::vector<std::unique_ptr<SimulatedNode>> nodes;
 };
 
-std::uint64_t lists(const StandInDiscovery::Counts& counts) { return counts.whole_lists + counts.changes; }
+std::uint64_t lists(const DiscoveryCounts& counts) { return counts.lists(); }
 
 // A process that a busy machine holds still for longer than a time limit of the watch loses that watch: such
 // a trial tells nothing and is made again. `trial` returns how many watches were lost beyond those it ended.
@@ -99,7 +99,7 @@
       EXPECT_EQ(counts.connections, 1U) << servers;
       EXPECT_EQ(counts.requests, 1U) << servers;
       EXPECT_EQ(lists(counts), 1U) << servers;
-      EXPECT_LE(counts.bytes, whole_list(1, servers, kDialPort).size() + 200) << servers;
+      EXPECT_LE(counts.bytes, snapshot_text(1, servers, kDialPort).size() + 200) << servers;
       EXPECT_EQ(fleet.nodes[0]->counts().snapshots, 1U) << servers;
       return std::uint64_t{0};
     });
@@ -113,12 +113,12 @@
       Fleet fleet(servers, 1, GetParam());
       const auto before = fleet.discovery.counts();
       for (std::size_t i = 0; i < 20; ++i) fleet.discovery.set_draining(i % servers, i % 2 == 0);
-      fleet.until([&] { return fleet.all_at(fleet.discovery.seq()); });
+      fleet.until([&] { return fleet.all_at(fleet.discovery.version()); });
       const auto after = fleet.discovery.counts();
       if (fleet.lost() > 0) return fleet.lost();
       EXPECT_EQ(after.requests, before.requests) << servers;
-      EXPECT_EQ(after.whole_lists, before.whole_lists) << servers;
-      EXPECT_EQ(after.changes - before.changes, 20U) << servers;
+      EXPECT_EQ(after.snapshots, before.snapshots) << servers;
+      EXPECT_EQ(after.incremental_lists - before.incremental_lists, 20U) << servers;
       EXPECT_LE(after.bytes - before.bytes, 20U * 200) << servers;
       EXPECT_EQ(fleet.nodes[0]->counts().incremental_lists, 20U) << servers;
       return std::uint64_t{0};
@@ -131,13 +131,13 @@
   undisturbed([&] {
     Fleet fleet(27000, 1, GetParam());
     const auto before = fleet.discovery.counts();
-    fleet.discovery.set_mode(StandInDiscovery::Mode::kWell);  // ends all that is open
+    fleet.discovery.set_mode(DiscoveryMode::kHealthy);  // ends all that is open
     fleet.discovery.set_draining(3, true);
-    fleet.until([&] { return fleet.all_at(fleet.discovery.seq()); });
+    fleet.until([&] { return fleet.all_at(fleet.discovery.version()); });
     const auto after = fleet.discovery.counts();
     if (fleet.lost() > 1) return fleet.lost();
     EXPECT_EQ(after.requests - before.requests, 1U);
-    EXPECT_EQ(after.whole_lists, before.whole_lists);
+    EXPECT_EQ(after.snapshots, before.snapshots);
     EXPECT_LE(after.bytes - before.bytes, 400U);
     return std::uint64_t{0};
   });
@@ -150,11 +150,11 @@
     const auto before = fleet.discovery.counts();
     const std::uint64_t lost = fleet.lost();  // at the start, where all of them share one thread
     fleet.discovery.set_draining(11, true);
-    fleet.until([&] { return fleet.all_at(fleet.discovery.seq()); });
+    fleet.until([&] { return fleet.all_at(fleet.discovery.version()); });
     const auto after = fleet.discovery.counts();
     if (fleet.lost() > lost) return fleet.lost();
     EXPECT_EQ(after.requests, before.requests);
-    EXPECT_EQ(after.changes - before.changes, fleet.nodes.size());
+    EXPECT_EQ(after.incremental_lists - before.incremental_lists, fleet.nodes.size());
     std::set<std::string> used;
     std::uint64_t sent = 0;
     for (const auto& node : fleet.nodes) {
@@ -164,7 +164,7 @@
     }
     EXPECT_EQ(sent, 10 * fleet.nodes.size());
     EXPECT_EQ(used.size(), 19U);
-    EXPECT_FALSE(used.contains(server_name(11)));
+    EXPECT_FALSE(used.contains(endpoint_name(11)));
     return std::uint64_t{0};
   });
 }
@@ -199,7 +199,7 @@
 TEST_P(Start, AListThatCannotBeTakenIsAskedForLessAndLess) {
   boost::asio::io_context io(1);
   StandInDiscovery discovery(io, 700, kDialPort);
-  discovery.set_mode(StandInDiscovery::Mode::kSpoil);
+  discovery.set_mode(DiscoveryMode::kCorrupt);
   NodeSetup setup;
   setup.discovery_port = discovery.port();
   setup.pushed = GetParam();
@@ -211,15 +211,15 @@
       io.run_one_for(std::chrono::milliseconds(50));
     }
   };
-  until([&] { return discovery.asked_at().size() >= 5; });
-  const std::vector<double>& asked = discovery.asked_at();
+  until([&] { return discovery.polled_at().size() >= 5; });
+  const std::vector<double>& asked = discovery.polled_at();
   ASSERT_GE(asked.size(), 5U);
   for (std::size_t i = 0; i + 1 < 5; ++i) {
     const double wait = node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
     EXPECT_GE(asked[i + 1] - asked[i], wait / 2) << i;
   }
   EXPECT_FALSE(node.has_endpoints());
-  discovery.set_mode(StandInDiscovery::Mode::kWell);
+  discovery.set_mode(DiscoveryMode::kHealthy);
   until([&] { return node.has_endpoints(); });
   EXPECT_TRUE(node.has_endpoints());
 }
--- a/scale/process.cpp
+++ b/scale/process.cpp
@@ -142,7 +142,7 @@
 
 struct DiscoveryProcess::Command {
   enum class What { kMode, kDraining, kRate, kCounts } what = What::kCounts;
-  StandInDiscovery::Mode mode{};
+  DiscoveryMode mode{};
   std::size_t place = 0;
   bool draining = false;
   double rate = 0;
@@ -151,7 +151,7 @@
 struct DiscoveryProcess::Reply {
   double at = 0;
   std::uint64_t seq = 0;
-  StandInDiscovery::Counts counts;
+  DiscoveryCounts counts;
 };
 
 DiscoveryProcess::DiscoveryProcess(std::size_t servers, int dial_port) {
@@ -171,14 +171,14 @@
                 if (error || recv(ends[1], &command, sizeof command, 0) != sizeof command) return;
                 const double at = seconds();
                 if (command.what == Command::What::kDraining) {  // told first: who asked has to act at once
-                  const Reply reply{at, discovery.seq() + 1, discovery.counts()};
+                  const Reply reply{at, discovery.version() + 1, discovery.counts()};
                   if (send(ends[1], &reply, sizeof reply, MSG_NOSIGNAL) != sizeof reply) return;
                   discovery.set_draining(command.place, command.draining);
                   return await();
                 }
                 if (command.what == Command::What::kMode) discovery.set_mode(command.mode);
-                if (command.what == Command::What::kRate) discovery.set_rate(command.rate);
-                const Reply reply{at, discovery.seq(), discovery.counts()};
+                if (command.what == Command::What::kRate) discovery.set_change_rate(command.rate);
+                const Reply reply{at, discovery.version(), discovery.counts()};
                 if (send(ends[1], &reply, sizeof reply, MSG_NOSIGNAL) != sizeof reply) return;
                 await();
               });
@@ -201,16 +201,14 @@
   return reply;
 }
 
-void DiscoveryProcess::set_mode(StandInDiscovery::Mode mode) {
-  tell({Command::What::kMode, mode, 0, false, 0});
-}
+void DiscoveryProcess::set_mode(DiscoveryMode mode) { tell({Command::What::kMode, mode, 0, false, 0}); }
 double DiscoveryProcess::set_draining(std::size_t place, bool draining) {
   return tell({Command::What::kDraining, {}, place, draining, 0}).at;
 }
 void DiscoveryProcess::set_rate(double changes_per_s) {
   tell({Command::What::kRate, {}, 0, false, changes_per_s});
 }
-StandInDiscovery::Counts DiscoveryProcess::counts() { return tell({}).counts; }
+DiscoveryCounts DiscoveryProcess::counts() { return tell({}).counts; }
 std::uint64_t DiscoveryProcess::seq() { return tell({}).seq; }
 
 std::string config_text(const NodeSetup& setup) {
--- a/scale/process.h
+++ b/scale/process.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "scale/stand_in_discovery.h"
+#include "scale/stand_ins/stand_in_discovery.h"
 
 namespace asterdrift::scale {
 
@@ -68,10 +68,10 @@
   ~DiscoveryProcess();
   int port() const { return port_; }
   pid_t pid() const { return child_->pid(); }
-  void set_mode(StandInDiscovery::Mode mode);
+  void set_mode(DiscoveryMode mode);
   double set_draining(std::size_t place, bool draining);  // returns when it was told, on the steady clock
   void set_rate(double changes_per_s);
-  StandInDiscovery::Counts counts();
+  DiscoveryCounts counts();
   std::uint64_t seq();
 
  private:
