--- a/scale/polling_guard_test.cpp
+++ b/scale/polling_guard_test.cpp
@@ -15,9 +15,9 @@
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
 #include "scale/allocations.h"
-#include "scale/hollow_node.h"
 #include "scale/process.h"
-#include "scale/stand_in_discovery.h"
+#include "scale/stand_ins/simulated_node.h"
+#include "scale/stand_ins/stand_in_discovery.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -32,8 +32,8 @@
   return node::config::read_config(config_text(setup)).settings;
 }
 
-// One discovery and hollow nodes before it, all on one thread. Waits are for events; the limit only ends what
-// would hang.
+// One discovery and simulated nodes before it, all on one thread. Waits are for events; the limit only ends
+// what would hang.
 struct Fleet {
   Fleet(std::size_t servers, std::size_t count, bool pushed) : discovery(io, servers, kDialPort) {
     for (std::size_t i = 0; i < count; ++i) {
@@ -43,10 +43,10 @@
       setup.copies = count;
       setup.pushed = pushed;
       setup.seed = i + 1;
-      nodes.push_back(std::make_unique<HollowNode>(io, config_text(setup)));
+      nodes.push_back(std::make_unique<SimulatedNode>(io, config_text(setup)));
     }
     for (const auto& node : nodes) node->start();
-    until([&] { return all_at(discovery.seq()); });
+    until([&] { return all_at(discovery.version()); });
   }
 
   template <class Condition>
@@ -59,19 +59,20 @@
   }
   std::uint64_t lost() const {
     std::uint64_t out = 0;
-    for (const auto& node : nodes) out += node->counts().failures;
+    for (const auto& node : nodes) out += node->counts().failed_watches;
     return out;
   }
   bool all_at(std::uint64_t seq) const {
-    return std::all_of(nodes.begin(), nodes.end(), [=](const auto& node) { return node->seq() == seq; });
+    return std::all_of(nodes.begin(), nodes.end(),
+                       [=](const auto& node) { return node->list_version() == seq; });
   }
 
   boost::asio::io_context io{1};
   StandInDiscovery discovery;
-  std::vector<std::unique_ptr<HollowNode>> nodes;
+  std::vector<std::unique_ptr<SimulatedNode>> nodes;
 };
 
-std::uint64_t lists(const StandInDiscovery::Counts& counts) { return counts.whole_lists + counts.changes; }
+std::uint64_t lists(const DiscoveryCounts& counts) { return counts.lists(); }
 
 // A process that a busy machine holds still for longer than a time limit of the watch loses that watch: such
 // a trial tells nothing and is made again. `trial` returns how many watches were lost beyond those it ended.
@@ -98,8 +99,8 @@
       EXPECT_EQ(counts.connections, 1U) << servers;
       EXPECT_EQ(counts.requests, 1U) << servers;
       EXPECT_EQ(lists(counts), 1U) << servers;
-      EXPECT_LE(counts.bytes, whole_list(1, servers, kDialPort).size() + 200) << servers;
-      EXPECT_EQ(fleet.nodes[0]->counts().whole_lists, 1U) << servers;
+      EXPECT_LE(counts.bytes, snapshot_text(1, servers, kDialPort).size() + 200) << servers;
+      EXPECT_EQ(fleet.nodes[0]->counts().snapshots, 1U) << servers;
       return std::uint64_t{0};
     });
   }
@@ -112,14 +113,14 @@
       Fleet fleet(servers, 1, GetParam());
       const auto before = fleet.discovery.counts();
       for (std::size_t i = 0; i < 20; ++i) fleet.discovery.set_draining(i % servers, i % 2 == 0);
-      fleet.until([&] { return fleet.all_at(fleet.discovery.seq()); });
+      fleet.until([&] { return fleet.all_at(fleet.discovery.version()); });
       const auto after = fleet.discovery.counts();
       if (fleet.lost() > 0) return fleet.lost();
       EXPECT_EQ(after.requests, before.requests) << servers;
-      EXPECT_EQ(after.whole_lists, before.whole_lists) << servers;
-      EXPECT_EQ(after.changes - before.changes, 20U) << servers;
+      EXPECT_EQ(after.snapshots, before.snapshots) << servers;
+      EXPECT_EQ(after.incremental_lists - before.incremental_lists, 20U) << servers;
       EXPECT_LE(after.bytes - before.bytes, 20U * 200) << servers;
-      EXPECT_EQ(fleet.nodes[0]->counts().changes, 20U) << servers;
+      EXPECT_EQ(fleet.nodes[0]->counts().incremental_lists, 20U) << servers;
       return std::uint64_t{0};
     });
   }
@@ -130,13 +131,13 @@
   undisturbed([&] {
     Fleet fleet(27000, 1, GetParam());
     const auto before = fleet.discovery.counts();
-    fleet.discovery.set_mode(StandInDiscovery::Mode::kWell);  // ends all that is open
+    fleet.discovery.set_mode(DiscoveryMode::kHealthy);  // ends all that is open
     fleet.discovery.set_draining(3, true);
-    fleet.until([&] { return fleet.all_at(fleet.discovery.seq()); });
+    fleet.until([&] { return fleet.all_at(fleet.discovery.version()); });
     const auto after = fleet.discovery.counts();
     if (fleet.lost() > 1) return fleet.lost();
     EXPECT_EQ(after.requests - before.requests, 1U);
-    EXPECT_EQ(after.whole_lists, before.whole_lists);
+    EXPECT_EQ(after.snapshots, before.snapshots);
     EXPECT_LE(after.bytes - before.bytes, 400U);
     return std::uint64_t{0};
   });
@@ -149,21 +150,21 @@
     const auto before = fleet.discovery.counts();
     const std::uint64_t lost = fleet.lost();  // at the start, where all of them share one thread
     fleet.discovery.set_draining(11, true);
-    fleet.until([&] { return fleet.all_at(fleet.discovery.seq()); });
+    fleet.until([&] { return fleet.all_at(fleet.discovery.version()); });
     const auto after = fleet.discovery.counts();
     if (fleet.lost() > lost) return fleet.lost();
     EXPECT_EQ(after.requests, before.requests);
-    EXPECT_EQ(after.changes - before.changes, fleet.nodes.size());
+    EXPECT_EQ(after.incremental_lists - before.incremental_lists, fleet.nodes.size());
     std::set<std::string> used;
     std::uint64_t sent = 0;
     for (const auto& node : fleet.nodes) {
-      for (int i = 0; i < 10; ++i) used.insert(node->call());
-      EXPECT_EQ(node->counts().changes, 1U);
-      sent += node->counts().sends;
+      for (int i = 0; i < 10; ++i) used.insert(node->handle_request());
+      EXPECT_EQ(node->counts().incremental_lists, 1U);
+      sent += node->counts().attempts;
     }
     EXPECT_EQ(sent, 10 * fleet.nodes.size());
     EXPECT_EQ(used.size(), 19U);
-    EXPECT_FALSE(used.contains(server_name(11)));
+    EXPECT_FALSE(used.contains(endpoint_name(11)));
     return std::uint64_t{0};
   });
 }
@@ -198,11 +199,11 @@
 TEST_P(Start, AListThatCannotBeTakenIsAskedForLessAndLess) {
   boost::asio::io_context io(1);
   StandInDiscovery discovery(io, 700, kDialPort);
-  discovery.set_mode(StandInDiscovery::Mode::kSpoil);
+  discovery.set_mode(DiscoveryMode::kCorrupt);
   NodeSetup setup;
   setup.discovery_port = discovery.port();
   setup.pushed = GetParam();
-  HollowNode node(io, config_text(setup));
+  SimulatedNode node(io, config_text(setup));
   node.start();
   const auto until = [&](const auto& holds) {
     for (const double from = seconds(); !holds() && seconds() - from < 60;) {
@@ -210,17 +211,17 @@
       io.run_one_for(std::chrono::milliseconds(50));
     }
   };
-  until([&] { return discovery.asked_at().size() >= 5; });
-  const std::vector<double>& asked = discovery.asked_at();
+  until([&] { return discovery.polled_at().size() >= 5; });
+  const std::vector<double>& asked = discovery.polled_at();
   ASSERT_GE(asked.size(), 5U);
   for (std::size_t i = 0; i + 1 < 5; ++i) {
     const double wait = node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
     EXPECT_GE(asked[i + 1] - asked[i], wait / 2) << i;
   }
-  EXPECT_FALSE(node.knows_servers());
-  discovery.set_mode(StandInDiscovery::Mode::kWell);
-  until([&] { return node.knows_servers(); });
-  EXPECT_TRUE(node.knows_servers());
+  EXPECT_FALSE(node.has_endpoints());
+  discovery.set_mode(DiscoveryMode::kHealthy);
+  until([&] { return node.has_endpoints(); });
+  EXPECT_TRUE(node.has_endpoints());
 }
 }  // namespace
 }  // namespace asterdrift::scale
