--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -21,9 +21,9 @@
 // Capacity that is not measured is divided between the replicas by random offsets. Where this replica's share
 // of an endpoint is low, a fixed offset would exclude most replicas from it for good: each request draws
 // anew.
-bool ConcurrencyLimit::endpoint_has_capacity(const EndpointRecord& record) {
+bool ConcurrencyLimit::is_below_limit(const EndpointRecord& record) {
   const TrafficStatistics& traffic = state_.traffic;
-  if (state_.settings.tier > 0 || traffic.is_low(state_.now)) return true;
+  if (traffic.is_low(state_.now)) return true;
   const double offset = is_endpoint_share_low() ? state_.random.unit() : record.rounding_offset;
   return record.in_flight + offset <
          unmeasured_capacity(record.first_seen_at) / state_.subset.sharing_replicas() +
@@ -31,7 +31,7 @@
 }
 
 bool ConcurrencyLimit::tier_has_capacity() const {
-  if (state_.settings.tier > 0) return true;
+  if (!is_limited()) return true;
   const TrafficStatistics& traffic = state_.traffic;
   const double now = state_.now;
   // At the start of a replica with few requests the upper bound of the idle latency replaces the estimate,
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -16,12 +16,14 @@
   void on_endpoint_list();
 
   // Whether the endpoint has capacity for one more request. With little traffic the result is random.
-  bool endpoint_has_capacity(const EndpointRecord& record);
+  bool endpoint_has_capacity(const EndpointRecord& record) { return !is_limited() || is_below_limit(record); }
 
   // Whether the tier has. Measured over all endpoints, which selection does not bias.
   bool tier_has_capacity() const;
 
  private:
+  bool is_limited() const { return state_.settings.tier == 0; }
+  bool is_below_limit(const EndpointRecord& record);
   double unmeasured_capacity(double since) const;
   bool is_endpoint_share_low() const;
 
--- a/src/balancer/pending_request.cpp
+++ b/src/balancer/pending_request.cpp
@@ -10,10 +10,6 @@
 
 bool PendingRequest::may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
 
-bool PendingRequest::was_sent_to(std::uint64_t endpoint_hash) const {
-  return std::ranges::find(attempts, endpoint_hash, &Attempt::endpoint_hash) != attempts.end();
-}
-
 double PendingRequest::retry_cost() const {
   return !attempts.empty() && attempts.back().connect_failed() ? 0 : 1;
 }
--- a/src/balancer/pending_request.h
+++ b/src/balancer/pending_request.h
@@ -1,6 +1,7 @@
 // A request that still needs a final response or has open attempts.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <cstdint>
 #include <vector>
@@ -24,7 +25,9 @@
   bool any_open() const;
   // Whether an endpoint may have executed it.
   bool may_have_run() const;
-  bool was_sent_to(std::uint64_t endpoint_hash) const;
+  bool was_sent_to(std::uint64_t endpoint_hash) const {
+    return std::ranges::find(attempts, endpoint_hash, &Attempt::endpoint_hash) != attempts.end();
+  }
   // What a retry takes from the retry budget, which limits the additional load on servers: a connection that
   // failed has caused none.
   double retry_cost() const;
--- a/src/balancer/traffic_statistics.cpp
+++ b/src/balancer/traffic_statistics.cpp
@@ -1,7 +1,5 @@
 #include "balancer/traffic_statistics.h"
 
-#include <algorithm>
-
 namespace asterdrift::balancer {
 namespace {
 
@@ -30,12 +28,6 @@
   }
 }
 
-double TrafficStatistics::request_rate(double now) const {
-  return std::max(quota_rate, admission_rate.at(now));
-}
-
-double TrafficStatistics::idle_latency_s() const { return idle_latency.value() * objective.mean; }
-
 bool TrafficStatistics::is_low(double now) const {
   return request_rate(now) * idle_latency_s() < kLowInFlight;
 }
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -1,6 +1,7 @@
 // Statistics of one replica's traffic and of its tier as a whole.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <limits>
 
@@ -20,9 +21,9 @@
   explicit TrafficStatistics(const Settings& settings);
 
   // Requests per second: the admitted rate, but at least the rate of the quotas.
-  double request_rate(double now) const;
+  double request_rate(double now) const { return std::max(quota_rate, admission_rate.at(now)); }
   // Seconds; the latency of the tier when no requests queue.
-  double idle_latency_s() const;
+  double idle_latency_s() const { return idle_latency.value() * objective.mean; }
   // Whether so few requests are in flight that their number at one moment is not meaningful.
   bool is_low(double now) const;
 
--- a/src/support/decaying_statistics.cpp
+++ b/src/support/decaying_statistics.cpp
@@ -10,10 +10,6 @@
   updated_at_ = now;
 }
 
-double DecayingRate::at(double now) const {
-  return rate_ == 0 ? 0 : rate_ * std::exp((updated_at_ - now) / time_constant_s_);
-}
-
 void SampledEstimate::add(double value, double least_gain) {
   samples += 1;
   const double gain = std::max(least_gain, 1 / (samples + 1));
@@ -50,9 +46,4 @@
   updated_at_ = now;
 }
 
-DecayingMean::Sum DecayingMean::at(double now) const {
-  const double kept = std::exp((updated_at_ - now) / time_constant_s_);
-  return {total_.sum * kept, total_.weight * kept};
-}
-
 }  // namespace asterdrift::support
--- a/src/support/decaying_statistics.h
+++ b/src/support/decaying_statistics.h
@@ -1,6 +1,8 @@
 // Statistics that forget exponentially. Times and time constants are in seconds.
 #pragma once
 
+#include <cmath>
+
 namespace asterdrift::support {
 
 // Events per second.
@@ -9,7 +11,9 @@
   explicit DecayingRate(double time_constant_s) : time_constant_s_(time_constant_s) {}
 
   void add(double now);
-  double at(double now) const;
+  double at(double now) const {
+    return rate_ == 0 ? 0 : rate_ * std::exp((updated_at_ - now) / time_constant_s_);
+  }
 
  private:
   double time_constant_s_;
@@ -83,7 +87,10 @@
       : time_constant_s_(time_constant_s), most_samples_(most_samples) {}
 
   void add(double now, double value);
-  Sum at(double now) const;
+  Sum at(double now) const {
+    const double kept = std::exp((updated_at_ - now) / time_constant_s_);
+    return {total_.sum * kept, total_.weight * kept};
+  }
 
  private:
   double time_constant_s_;
