--- a/src/support/decaying_statistics.cpp
+++ b/src/support/decaying_statistics.cpp
@@ -10,9 +10,9 @@
   updated_at_ = now;
 }
 
-void SampledEstimate::add(double value, double least_gain) {
+void SampledEstimate::add(double value, double min_gain) {
   samples += 1;
-  const double gain = std::max(least_gain, 1 / (samples + 1));
+  const double gain = std::max(min_gain, 1 / (samples + 1));
   deviation += gain * (std::abs(value - mean) - deviation);
   mean += gain * (value - mean);
 }
@@ -29,10 +29,10 @@
   updated_at_ = now;
 }
 
-void DecayingLevel::change(double now, int by) {
+void DecayingLevel::change(double now, int step) {
   mean_ = mean(now);
   updated_at_ = now;
-  level_ += by;
+  level_ += step;
 }
 
 double DecayingLevel::mean(double now) const {
@@ -40,9 +40,9 @@
 }
 
 void DecayingMean::add(double now, double value) {
-  const Sum old = at(now);
-  const double kept = old.weight > most_samples_ - 1 ? (most_samples_ - 1) / old.weight : 1;
-  total_ = {old.sum * kept + value, old.weight * kept + 1};
+  const Sum previous = at(now);
+  const double retained = previous.weight > max_samples_ - 1 ? (max_samples_ - 1) / previous.weight : 1;
+  total_ = {previous.sum * retained + value, previous.weight * retained + 1};
   updated_at_ = now;
 }
 
--- a/src/support/decaying_statistics.h
+++ b/src/support/decaying_statistics.h
@@ -1,16 +1,18 @@
-// Statistics that forget exponentially. Times and time constants are in seconds.
+// Statistics with exponential decay. Times and time constants are in seconds.
 #pragma once
 
 #include <cmath>
 
 namespace asterdrift::support {
 
-// Events per second.
+// The rate of events, per second.
 class DecayingRate {
  public:
   explicit DecayingRate(double time_constant_s) : time_constant_s_(time_constant_s) {}
 
+  // An event has happened.
   void add(double now);
+  // The rate at a time.
   double at(double now) const {
     return rate_ == 0 ? 0 : rate_ * std::exp((updated_at_ - now) / time_constant_s_);
   }
@@ -21,26 +23,27 @@
   double updated_at_ = 0;
 };
 
-// Mean and mean deviation by count of samples; the first samples have a larger gain.
+// Mean and mean deviation that decay with the number of samples. The first samples have a larger gain.
 struct SampledEstimate {
   double mean = 0;
   double deviation = 0;
   double samples = 0;
 
-  void add(double value, double least_gain);
+  // min_gain: weight of a sample once there are many.
+  void add(double value, double min_gain);
 };
 
-// A baseline that follows the mean of samples at different speeds down and up.
+// A baseline that follows the mean of samples, down and up at different speeds.
 class AsymmetricBaseline {
  public:
   struct Parameters {
-    double initial;        // assumed until the baseline is learned
-    double max;            // the baseline never exceeds it
+    double initial;        // the baseline until it is learned
+    double max;            // upper bound of the baseline
     double gain;           // weight of one sample in the mean
-    double min_samples;    // before the baseline counts as learned
-    double settle_time_s;  // from the first sample, before the baseline counts as learned
-    double fall_time_s;    // how fast the baseline follows a lower mean
-    double rise_time_s;    // and a higher one
+    double min_samples;    // number of samples from which the baseline is learned
+    double settle_time_s;  // time since the first sample from which the baseline is learned
+    double fall_time_s;    // time constant towards a lower mean
+    double rise_time_s;    // time constant towards a higher mean
   };
 
   explicit AsymmetricBaseline(const Parameters& parameters)
@@ -48,6 +51,7 @@
 
   void add(double now, double sample);
   double value() const { return value_; }
+  // Whether the value depends on samples yet.
   bool is_learned() const { return is_learned_; }
 
  private:
@@ -58,12 +62,12 @@
   bool is_learned_ = false;
 };
 
-// A level that goes up and down, and its mean over time.
+// A level that changes in steps, and its mean over time.
 class DecayingLevel {
  public:
   explicit DecayingLevel(double time_constant_s) : time_constant_s_(time_constant_s) {}
 
-  void change(double now, int by);
+  void change(double now, int step);
   int level() const { return level_; }
   double mean(double now) const;
 
@@ -74,27 +78,28 @@
   int level_ = 0;
 };
 
-// Mean that forgets by time, and by count where samples are many.
+// Mean that decays with time and, where samples are many, with their number.
 class DecayingMean {
  public:
   struct Sum {
     double sum = 0;
-    double weight = 0;  // samples that count
+    double weight = 0;  // number of samples, decayed
   };
 
-  // most_samples: the weight never exceeds it.
-  DecayingMean(double time_constant_s, double most_samples)
-      : time_constant_s_(time_constant_s), most_samples_(most_samples) {}
+  // max_samples: upper bound of the weight.
+  DecayingMean(double time_constant_s, double max_samples)
+      : time_constant_s_(time_constant_s), max_samples_(max_samples) {}
 
   void add(double now, double value);
+  // Sum and weight of the samples at a time; the mean is their quotient.
   Sum at(double now) const {
-    const double kept = std::exp((updated_at_ - now) / time_constant_s_);
-    return {total_.sum * kept, total_.weight * kept};
+    const double retained = std::exp((updated_at_ - now) / time_constant_s_);
+    return {total_.sum * retained, total_.weight * retained};
   }
 
  private:
   double time_constant_s_;
-  double most_samples_;
+  double max_samples_;
   double updated_at_ = 0;
   Sum total_;
 };
--- a/src/support/named_slots.h
+++ b/src/support/named_slots.h
@@ -1,4 +1,4 @@
-// Elements found by name, in numbered slots.
+// Elements with names, in numbered slots.
 #pragma once
 
 #include <array>
@@ -6,7 +6,6 @@
 #include <cstdint>
 #include <memory>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "support/ordered_index.h"
@@ -14,29 +13,43 @@
 
 namespace asterdrift::support {
 
-// Slots are reused after their removal. They stay in place for good: references to elements remain valid, and
-// growing never copies all elements. An Element has a member `std::uint64_t hash`, which is set here, and a
-// function `const std::string& name() const`.
+// Slots are reused after their removal. They never move: references to elements remain valid, and growing
+// does not copy elements. An Element has a member `std::uint64_t hash`, which is set here, and a function
+// `const std::string& name() const`.
 template <class Element>
 class NamedSlots {
  public:
-  // Slots there are, in use or not.
+  // Number of slots, in use or not.
   std::size_t size() const { return size_; }
-  Element& operator[](std::size_t slot) { return (++reads_, element(slot)); }
-  const Element& operator[](std::size_t slot) const { return (++reads_, element(slot)); }
-  // How often elements have been read so far.
+  Element& operator[](std::size_t slot) {
+    ++reads_;
+    return element(slot);
+  }
+  const Element& operator[](std::size_t slot) const {
+    ++reads_;
+    return element(slot);
+  }
+  // Number of element accesses so far.
   std::uint64_t reads() const { return reads_; }
 
   // The slots in use, ordered by the hash of their names, then by their names.
   const OrderedIndex& in_use() const { return in_use_; }
 
-  // The slot of a name, and whether it is new. The caller gives a new element its name.
-  std::pair<std::uint32_t, bool> find_or_add(const std::string& name) {
+  struct FoundSlot {
+    std::uint32_t slot;
+    bool is_new;
+  };
+
+  // Finds the slot of a name, or acquires one. The caller gives a new element its name.
+  FoundSlot find_or_add(const std::string& name) {
     const std::uint64_t hash = hash_text(name);
-    const std::size_t at = position(in_use_, key_of(hash), hash, name);
-    if (at != in_use_.size() && (*this)[in_use_[at].slot].name() == name) return {in_use_[at].slot, false};
+    const std::size_t found = position(in_use_, key_of(hash), hash, name);
+    if (found != in_use_.size()) {
+      const std::uint32_t slot = in_use_[found].slot;
+      if ((*this)[slot].name() == name) return {slot, false};
+    }
     const std::uint32_t slot = acquire();
-    in_use_.insert(at, {key_of(hash), slot});
+    in_use_.insert(found, {key_of(hash), slot});
     element(slot).hash = hash;
     return {slot, true};
   }
@@ -47,10 +60,12 @@
     released_.push_back(slot);
   }
 
-  // Keep an index of slots in use sorted by a key, and by the order of in_use() where keys are equal.
+  // Inserts a slot into an index of slots in use, sorted by a key and, for equal keys, by the order of
+  // in_use().
   void insert_into(OrderedIndex& index, std::uint32_t key, std::uint32_t slot) const {
     index.insert(position(index, key, element(slot).hash, element(slot).name()), {key, slot});
   }
+  // Removes a slot from such an index.
   void erase_from(OrderedIndex& index, std::uint32_t key, std::uint32_t slot) const {
     index.erase(position(index, key, element(slot).hash, element(slot).name()));
   }
@@ -65,7 +80,7 @@
   Element& element(std::size_t slot) { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
   const Element& element(std::size_t slot) const { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
 
-  // Where a name stands in an index, or would, among the entries with its key.
+  // The position of a name in an index among the entries with its key, or where it would be inserted.
   std::size_t position(const OrderedIndex& index, std::uint32_t key, std::uint64_t hash,
                        const std::string& name) const {
     return index.partition_point([&](OrderedIndex::Entry entry) {
--- a/src/support/ordered_index.cpp
+++ b/src/support/ordered_index.cpp
@@ -3,8 +3,8 @@
 namespace asterdrift::support {
 namespace {
 
-constexpr std::size_t kBlockCapacity = 64;
-constexpr std::size_t kAppendFill = 48;  // entries of a block that is built by appending
+constexpr std::size_t kBlockCapacity = 64;  // entries
+constexpr std::size_t kAppendFill = 48;     // entries of a block that is built by appending
 
 std::ptrdiff_t offset(std::size_t position) { return static_cast<std::ptrdiff_t>(position); }
 
@@ -41,7 +41,7 @@
   --size_;
   for (std::size_t i = block + 1; i < starts_.size(); ++i) --starts_[i];
   if (blocks_[block].empty()) return erase_block(block);
-  // Merge small neighbours, so that blocks stay about half full.
+  // Merge small adjacent blocks, so that blocks stay about half full.
   if (block + 1 == blocks_.size() && block > 0) --block;
   if (block + 1 == blocks_.size()) return;
   if (blocks_[block].size() + blocks_[block + 1].size() > kBlockCapacity / 2) return;
@@ -90,11 +90,11 @@
   starts_[block + 1] = starts_[block] + kBlockCapacity / 2;
 }
 
-void CircularRange::collect(std::size_t offset, std::size_t count, std::vector<std::uint32_t>& out) const {
+void CircularRange::collect(std::size_t offset, std::size_t count, std::vector<std::uint32_t>& slots) const {
   while (count > 0 && size > 0) {
     const std::size_t from = (start + offset) % circumference;
     const std::size_t run = std::min({count, size - offset, circumference - from});
-    index->for_each_slot(base + from, run, [&](std::uint32_t slot) { out.push_back(slot); });
+    index->for_each_slot(base + from, run, [&](std::uint32_t slot) { slots.push_back(slot); });
     count -= run;
     offset = (offset + run) % size;
   }
--- a/src/support/ordered_index.h
+++ b/src/support/ordered_index.h
@@ -1,4 +1,4 @@
-// A sorted sequence of slot numbers with access by position (order-statistics list).
+// A sorted sequence of slot numbers with access by position.
 #pragma once
 
 #include <algorithm>
@@ -10,10 +10,10 @@
 
 struct CircularRange;
 
-// Entries in blocks, with the position at which each block starts. A search takes O(log n); an insertion or
-// removal moves the entries of one block and updates the starts of the blocks behind it, of which there are
-// about n / 48. One sorted vector would move n entries for each change, and losing a zone changes each of its
-// entries; a tree with counts takes 56 bytes an entry against 12 and longer to find a position.
+// An order-statistics list: entries in blocks, with the position at which each block starts. A search takes
+// O(log n); an insertion or removal moves the entries of one block and updates the starts of the blocks after
+// it, of which there are about n / 48. One sorted vector would move n entries for each change; a tree with
+// counts needs several times the memory.
 class OrderedIndex {
  public:
   struct Entry {
@@ -35,25 +35,27 @@
            static_cast<std::size_t>(entry - block->begin());
   }
 
-  // All entries, and those with one key.
+  // All entries.
   CircularRange range() const;
+  // The entries with one key.
   CircularRange range_of(std::uint32_t key) const;
 
+  // Inserts an entry before the one at `position`.
   void insert(std::size_t position, Entry entry);
   void erase(std::size_t position);
   void clear();
-  // Replaces all entries; sorts them by key, those with equal keys in the order in which they are given.
+  // Replaces all entries. Sorts them by key; entries with equal keys stay in the given order.
   void assign(std::vector<Entry> entries);
-  // Adds an entry behind all others.
+  // Adds an entry after all others.
   void append(Entry entry);
 
-  // Calls `use` with the slots of `count` entries from a position on.
-  template <class Use>
-  void for_each_slot(std::size_t position, std::size_t count, const Use& use) const {
+  // Calls `visit` with the slots of `count` entries, from `position` on.
+  template <class Visitor>
+  void for_each_slot(std::size_t position, std::size_t count, const Visitor& visit) const {
     if (count == 0) return;
     std::size_t block = block_of(position);
     for (std::size_t i = position - starts_[block]; count > 0; ++block, i = 0) {
-      for (; i < blocks_[block].size() && count > 0; ++i, --count) use(blocks_[block][i].slot);
+      for (; i < blocks_[block].size() && count > 0; ++i, --count) visit(blocks_[block][i].slot);
     }
   }
 
@@ -70,8 +72,8 @@
   std::size_t size_ = 0;
 };
 
-// A part of a circle of entries: `size` of them from `start`, where the circle consists of the
-// `circumference` entries from position `base` of an index. The index has to outlive it and not to change.
+// A part of a circle of entries: `size` entries from `start` on, where the circle consists of the
+// `circumference` entries from position `base` of an index. Valid until the index changes.
 struct CircularRange {
   const OrderedIndex* index = nullptr;
   std::size_t base = 0;
@@ -79,8 +81,8 @@
   std::size_t start = 0;
   std::size_t size = 0;
 
-  // Adds to `out` the slots of `count` entries of the range from its `offset` on; it wraps at its end.
-  void collect(std::size_t offset, std::size_t count, std::vector<std::uint32_t>& out) const;
+  // Appends to `slots` those of `count` entries of the range from `offset` on; wraps around at its end.
+  void collect(std::size_t offset, std::size_t count, std::vector<std::uint32_t>& slots) const;
 };
 
 }  // namespace asterdrift::support
--- a/src/support/random.h
+++ b/src/support/random.h
@@ -1,4 +1,4 @@
-// Deterministic random numbers and hashes: the same on every platform.
+// Deterministic random numbers and hashes, equal on all platforms.
 #pragma once
 
 #include <cstddef>
@@ -7,12 +7,13 @@
 
 namespace asterdrift::support {
 
-// splitmix64 (Steele, Lea and Flood 2014) with its own mapping to ranges, since the standard library's
-// distributions differ between platforms.
+// Random numbers by splitmix64 (Steele, Lea and Flood 2014). The mapping to ranges is defined here, since the
+// standard library's distributions differ between platforms.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
+  // Uniform over all values.
   std::uint64_t next();
   // Uniform in [0, 1).
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
--- a/src/support/sliding_window.cpp
+++ b/src/support/sliding_window.cpp
@@ -16,14 +16,14 @@
 
 SlidingWindow::Sums SlidingWindow::sums(double now) const {
   const std::int64_t number = number_at(now);
-  Sums out;
+  Sums sums;
   for (const Bucket& bucket : buckets_) {
     if (bucket.number <= number - std::ssize(buckets_)) continue;
-    out.total += bucket.total;
-    out.declined += bucket.declined;
-    if (bucket.number > number - short_buckets_) out.short_total += bucket.total;
+    sums.total += bucket.total;
+    sums.declined += bucket.declined;
+    if (bucket.number > number - short_buckets_) sums.short_total += bucket.total;
   }
-  return out;
+  return sums;
 }
 
 std::int64_t SlidingWindow::number_at(double now) const {
--- a/src/support/weighted_sample.h
+++ b/src/support/weighted_sample.h
@@ -1,4 +1,4 @@
-// Random choice in proportion to weights.
+// Random selection in proportion to weights.
 #pragma once
 
 #include <cstddef>
@@ -9,6 +9,7 @@
 
 namespace asterdrift::support {
 
+// A set of candidates with weights.
 template <class Item>
 class WeightedSample {
  public:
@@ -28,12 +29,14 @@
   bool empty() const { return candidates_.empty(); }
   std::size_t size() const { return candidates_.size(); }
 
-  // Draws one candidate; there has to be one.
+  // Draws one candidate. The set must not be empty.
   const Candidate& draw(Random& random) const {
     double rest = random.unit() * total_weight_;
-    std::size_t i = 0;
-    while (i + 1 < candidates_.size() && (rest -= candidates_[i].weight) >= 0) ++i;
-    return candidates_[i];
+    for (std::size_t i = 0; i + 1 < candidates_.size(); ++i) {
+      rest -= candidates_[i].weight;
+      if (!(rest >= 0)) return candidates_[i];
+    }
+    return candidates_.back();
   }
 
  private:
