--- /dev/null
+++ b/node/dispatch/balancer_host.cpp
@@ -0,0 +1,67 @@
+#include "node/dispatch/balancer_host.h"
+
+#include <boost/asio/steady_timer.hpp>
+#include <memory>
+#include <utility>
+#include <variant>
+
+#include "node/telemetry/log.h"
+#include "node/timing/clock.h"
+
+namespace asterdrift::node::dispatch {
+namespace {
+
+using boost::system::error_code;
+using timing::now;
+
+// Sets a flag for as long as it exists.
+class ScopedFlag {
+ public:
+  explicit ScopedFlag(bool& flag) : flag_(flag) { flag_ = true; }
+  ~ScopedFlag() { flag_ = false; }
+  ScopedFlag(const ScopedFlag&) = delete;
+  ScopedFlag& operator=(const ScopedFlag&) = delete;
+
+ private:
+  bool& flag_;
+};
+
+}  // namespace
+
+BalancerHost::BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config,
+                           BalancerActions& actions)
+    : io_(io), action_handler_(actions), balancer_(config.settings, config.seed) {}
+
+balancer::EndpointSetView BalancerHost::endpoints() const { return balancer_.endpoints(now()); }
+
+void BalancerHost::post(balancer::Event event) {
+  events_.push_back(std::move(event));
+  if (is_handling_events_) return;
+  const ScopedFlag handling(is_handling_events_);
+  while (!events_.empty()) handle_next_event();
+}
+
+// Known limitation: where an action throws, the remaining actions of its event are not carried out.
+void BalancerHost::handle_next_event() {
+  const balancer::Event event = std::move(events_.front());
+  events_.pop_front();
+  actions_.clear();
+  balancer_.handle(now(), event, actions_);
+  for (const balancer::Action& action : actions_) {
+    std::visit([this](const auto& each) { run(each); }, action);
+  }
+  if (const auto* result = std::get_if<balancer::AttemptResult>(&event)) {
+    action_handler_.on_attempt_result_handled(*result);
+  }
+}
+
+void BalancerHost::run(const balancer::SetTimer& action) {
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(action.at));
+  timer->async_wait([this, timer, token = action.token](const error_code& error) {
+    if (!error) post(balancer::TimerFired{token});
+  });
+}
+
+void BalancerHost::run(const balancer::LogLine& action) { telemetry::log_line(action.text); }
+
+}  // namespace asterdrift::node::dispatch
--- /dev/null
+++ b/node/dispatch/balancer_host.h
@@ -0,0 +1,56 @@
+// Runs the balancer: queues its events, and hands out the actions that it decides on.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <deque>
+#include <vector>
+
+#include "asterdrift/balancer/balancer.h"
+#include "node/config/node_config.h"
+
+namespace asterdrift::node::dispatch {
+
+// Carries out the balancer's actions on requests and endpoints.
+class BalancerActions {
+ public:
+  virtual ~BalancerActions() = default;
+
+  virtual void run(const balancer::SendAttempt& action) = 0;
+  virtual void run(const balancer::RejectRequest& action) = 0;
+  virtual void run(const balancer::FailRequest& action) = 0;
+  virtual void run(const balancer::CancelAttempt& action) = 0;
+  virtual void run(const balancer::WatchEndpoints& action) = 0;
+  // All actions that follow from the end of an attempt have been carried out.
+  virtual void on_attempt_result_handled(const balancer::AttemptResult& result) = 0;
+};
+
+// Owns the balancer and its timers. Writes the balancer's log lines itself.
+class BalancerHost {
+ public:
+  // actions has to outlive the host.
+  BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config, BalancerActions& actions);
+
+  // The balancer is not re-entered: an event that its actions cause is handled after them, before the
+  // outermost call returns.
+  void post(balancer::Event event);
+
+  balancer::EndpointSetView endpoints() const;
+
+ private:
+  void handle_next_event();
+  template <class Action>
+  void run(const Action& action) {
+    action_handler_.run(action);
+  }
+  void run(const balancer::SetTimer& action);
+  void run(const balancer::LogLine& action);
+
+  boost::asio::io_context& io_;
+  BalancerActions& action_handler_;
+  balancer::Balancer balancer_;
+  std::deque<balancer::Event> events_;
+  std::vector<balancer::Action> actions_;
+  bool is_handling_events_ = false;
+};
+
+}  // namespace asterdrift::node::dispatch
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -23,7 +23,7 @@
   bool is_chunked = false;     // the length of the body is not known
   bool rest_consumed = false;  // a part of the rest has gone out, and is not buffered
   // Asked before bytes go out: whether the client still waits. May end the attempts of the request.
-  std::function<bool()> is_wanted;
+  std::function<bool()> is_awaited;
 };
 
 // How an attempt has ended.
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -183,7 +183,7 @@
 void Connection::write() {
   // No attempt may begin for a client that has gone, also where that has not been noticed yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
-  if (!response_body_ && request->is_wanted && !request->is_wanted()) return stop(serial_, Outcome::kNotSent);
+  if (!response_body_ && request->is_awaited && !request->is_awaited()) return stop(serial_, Outcome::kNotSent);
   do {
     if (!write_piece()) return;
   } while (prepare_next_piece());
