--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -1,11 +1,9 @@
 #include "node/upstream/connection.h"
 
 #include <algorithm>
-#include <cmath>
 #include <exception>
 #include <utility>
 
-#include "node/http/status.h"
 #include "node/net/socket_probe.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
@@ -17,13 +15,9 @@
 using asio::ip::tcp;
 using balancer::Outcome;
 using boost::system::error_code;
-using http::kOk;
 using timing::now;
 
-constexpr double kBufferTime = 0.1;       // s; a response of unknown length is buffered before it is streamed
-constexpr double kStallTimeout = 15;      // s without a byte of a body that is streamed
-constexpr double kLeastTimeoutMs = 1;     // told to the server
-constexpr double kStaleResetTime = 0.02;  // s; a reused connection that breaks so soon was stale
+constexpr double kStaleResetTime = 0.02;  // s; a reused connection that is reset so soon was stale
 
 }  // namespace
 
@@ -32,7 +26,8 @@
       endpoint_(std::move(endpoint)),
       generation_(generation),
       socket_(owner.io),
-      timer_(owner.io) {}
+      timer_(owner.io),
+      response_(owner.io, owner.body_budget) {}
 
 Connection::~Connection() {
   if (state_ != State::kClosed) owner_.on_closed();
@@ -45,54 +40,54 @@
   callbacks_ = std::move(callbacks);
   began_at_ = now();
   idle_time_ = state_ == State::kIdle ? began_at_ - idle_since_ : 0;
-  timeout_ = timeout;
-  timeout_at_ = began_at_ + timeout;
-  write_by_ = began_at_ + write_within;
-  parser_.emplace();
-  body_reservation_ = memory::MemoryReservation(owner_.body_budget);
-  sent_at_ = buffer_until_ = 0;
+  timer_.begin(began_at_, timeout, write_within);
+  response_.begin();
+  sent_at_ = 0;
   is_blocked_ = false;
 }
 
 void Connection::connect(const tcp::endpoint& address) {
   error_code error;
   socket_.open(address.protocol(), error);
-  if (error) return end(Outcome::kNotSent, false);  // no descriptor left: nothing to do with the server
+  if (error) return end(Outcome::kNotSent);  // no descriptor left: no fault of the server
   socket_.set_option(tcp::no_delay(true), error);
   socket_.non_blocking(true, error);
-  set_timer(std::min({timeout_at_, write_by_, now() + owner_.connect_timeout}));
+  set_timer(std::min({timer_.timeout_at(), timer_.write_by(), now() + owner_.connect_timeout}));
   socket_.async_connect(address, [self = shared_from_this()](const error_code& failure) {
     if (self->state_ != State::kConnecting) return;
     self->owner_.on_connect_ended(self);
-    if (failure) return self->end(Outcome::kConnectFailed, false);
+    if (failure) return self->end(Outcome::kConnectFailed);
     self->guarded([&] { self->start_writing(); });
   });
 }
 
 void Connection::start_writing() {
   state_ = State::kWriting;
-  progress_at_ = now();
-  set_timer(std::min(timeout_at_, write_by_));
-  const double left_ms = std::max(std::floor((timeout_at_ - now()) * 1000), kLeastTimeoutMs);
-  writer_.begin(request_, static_cast<std::int64_t>(left_ms));
+  timer_.on_progress();
+  set_timer(std::min(timer_.timeout_at(), timer_.write_by()));
+  writer_.begin(request_, timer_.remaining_ms());
   if (request_->body_rest) {
-    request_->body_rest->on_readable([self = weak_from_this(), serial = serial_] {
-      const auto connection = self.lock();
-      if (!connection || serial != connection->serial_) return;
-      if (connection->state_ != State::kWriting || connection->is_blocked_) return;
-      connection->guarded([&] { connection->write(); });
-    });
-    wait_readable();  // a server may respond before it has the whole request
+    wait_for_rest();
+    wait_readable();  // a server may respond before it has the complete request
   }
   write();
 }
 
+void Connection::wait_for_rest() {
+  request_->body_rest->on_readable([self = weak_from_this(), serial = serial_] {
+    const auto connection = self.lock();
+    if (!connection || serial != connection->serial_) return;
+    if (connection->state_ != State::kWriting || connection->is_blocked_) return;
+    connection->guarded([&] { connection->write(); });
+  });
+}
+
 void Connection::stop(AttemptSerial serial, Outcome outcome) {
-  if (serial == serial_ && callbacks_.on_end) end(outcome, false);
+  if (serial == serial_ && callbacks_.on_end) end(outcome);
 }
 
 void Connection::withdraw(AttemptSerial serial) {
-  const bool is_sending = state_ == State::kWriting && !response_body_;
+  const bool is_sending = state_ == State::kWriting && !response_.is_streaming();
   if (state_ == State::kConnecting || is_sending) stop(serial, Outcome::kNotSent);
 }
 
@@ -105,25 +100,17 @@
 bool Connection::is_stale() { return !net::is_quiet(socket_.native_handle()); }
 
 // Ends the attempt, if there is one, and with it the connection unless it may be reused.
-void Connection::end(Outcome outcome, bool may_reuse) {
+void Connection::end(Outcome outcome, Reuse reuse) {
   AttemptEnd result{outcome, {}, {}, {}, sent_at_};
   const bool broke_at_once = idle_time_ >= kFreshIdleTime && now() - began_at_ < kStaleResetTime;
   if (outcome == Outcome::kConnectionReset && broke_at_once) owner_.on_stale_reset();
-  if (response_body_) {
-    response_body_->finish(outcome == Outcome::kSuccess);
-  } else if (outcome == Outcome::kSuccess) {
-    result.content_type = parser_->content_type();
-    result.body = std::move(parser_->body());
-    result.body_reservation = std::exchange(body_reservation_, {});
-  }
-  body_reservation_ = {};
+  response_.finish(result);
   timer_.cancel();
   const auto on_end = std::exchange(callbacks_, {}).on_end;
-  parser_.reset();
+  response_.reset();
   request_.reset();
-  response_body_.reset();
   writer_.reset();
-  if (may_reuse) {
+  if (reuse == Reuse::kAllowed) {
     owner_.on_reusable(shared_from_this());
   } else {
     close();
@@ -140,60 +127,60 @@
   timer_.cancel();
 }
 
-// What goes wrong on one connection, be it memory, ends that one alone.
+// An exception, such as one for lack of memory, ends this connection alone.
 template <class Step>
 void Connection::guarded(const Step& step) {
   try {
     step();
   } catch (const std::exception& error) {
     telemetry::log_line("upstream connection to " + endpoint_ + " failed: " + error.what());
-    end(state_ == State::kReading ? Outcome::kUnknown : Outcome::kConnectFailed, false);
+    end(state_ == State::kReading ? Outcome::kUnknown : Outcome::kConnectFailed);
   }
 }
 
 void Connection::set_timer(double time) {
-  timer_.expires_after(timing::duration_of(time - now()));
-  timer_.async_wait([self = shared_from_this(), serial = serial_](const error_code& error) {
+  timer_.wait_until(time, [self = shared_from_this(), serial = serial_](const error_code& error) {
     if (error || serial != self->serial_ || !self->callbacks_.on_end) return;
     self->guarded([&] { self->on_timer(); });
   });
 }
 
-// When the attempt ends, as things are. A body that is streamed takes the time that its client and its size
-// need, so that no timeout holds for it; but a side that moves no byte for long is given up.
+// When the attempt ends, as things are. The duration of a streamed body depends on its client and its size,
+// so that no timeout applies to it, only one to the lack of progress.
 double Connection::deadline() const {
-  const bool is_streaming = response_body_ || (state_ == State::kWriting && request_->body_rest);
-  if (!is_streaming) return timeout_at_;
-  const bool waits_for_client = response_body_ ? response_body_->is_full() : !is_blocked_;
-  return (waits_for_client ? now() : progress_at_) + kStallTimeout;
+  const bool is_streaming = response_.is_streaming() || (state_ == State::kWriting && request_->body_rest);
+  if (!is_streaming) return timer_.timeout_at();
+  return timer_.stall_timeout_at(response_.is_streaming() ? response_.is_stream_full() : !is_blocked_);
 }
 
-// A request that was sent must not be taken for one that never ran: only bytes that are still here prove it.
+// A request that has been written completely must not count as never run.
 void Connection::on_timer() {
-  if (state_ != State::kReading && now() >= write_by_) return end(Outcome::kNotSent, false);
-  if (state_ == State::kConnecting && now() < timeout_at_) return end(Outcome::kConnectFailed, false);
-  if (!response_body_ && buffer_until_ > 0 && now() >= buffer_until_) start_streaming();
+  if (state_ != State::kReading && now() >= timer_.write_by()) return end(Outcome::kNotSent);
+  if (state_ == State::kConnecting && now() < timer_.timeout_at()) return end(Outcome::kConnectFailed);
+  const bool was_buffered = timer_.is_buffering() && now() >= timer_.buffer_until();
+  if (!response_.is_streaming() && was_buffered) start_streaming();
   if (now() < deadline()) return set_timer(deadline());
-  if (response_body_) return end(Outcome::kConnectionReset, false);
-  end(state_ == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed, false);
+  if (response_.is_streaming()) return end(Outcome::kConnectionReset);
+  end(state_ == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed);
 }
 
-// Writes here and not by a composed operation, which would tell of the last byte only later: in between, a
-// timeout would take a request that is out for one that is not.
+// Not a composed asynchronous operation, whose handler would run some time after the last byte has been
+// written: a timeout in between would take a complete request for an incomplete one.
 void Connection::write() {
-  // No attempt may begin for a client that has gone, also where that has not been noticed yet.
+  // No attempt may begin for a client that has disconnected, also where that has not been noticed yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
-  if (!response_body_ && request->is_awaited && !request->is_awaited()) return stop(serial_, Outcome::kNotSent);
+  const bool is_awaited = response_.is_streaming() || !request->is_awaited || request->is_awaited();
+  if (!is_awaited) return stop(serial_, Outcome::kNotSent);
   do {
     if (!write_piece()) return;
   } while (prepare_next_piece());
 }
 
-// Whether the piece has been written.
+// Returns whether the piece has been written.
 bool Connection::write_piece() {
   while (!writer_.piece_is_written()) {
-    if (now() >= write_by_) {
-      end(Outcome::kNotSent, false);
+    if (now() >= timer_.write_by()) {
+      end(Outcome::kNotSent);
       return false;
     }
     error_code error;
@@ -203,16 +190,16 @@
       return false;
     }
     if (error) {
-      end(Outcome::kConnectFailed, false);
+      end(Outcome::kConnectFailed);
       return false;
     }
-    progress_at_ = now();
+    timer_.on_progress();
   }
   return true;
 }
 
-// Whether there is more to write now; if not, the client or the response is waited for, or the attempt has
-// ended.
+// Returns whether there is more to write now. If not, the client or the response is awaited, or the attempt
+// has ended.
 bool Connection::prepare_next_piece() {
   const bool was_consumed = request_->rest_consumed;
   switch (writer_.next()) {
@@ -222,7 +209,7 @@
     case RequestWriter::Next::kWait:
       return false;
     case RequestWriter::Next::kTruncated:
-      end(Outcome::kNotSent, false);
+      end(Outcome::kNotSent);
       return false;
     case RequestWriter::Next::kComplete:
       on_request_written();
@@ -236,8 +223,8 @@
   owner_.metrics.count_attempt();
   if (request_->body_rest) {
     sent_at_ = now();
-    timeout_at_ = sent_at_ + timeout_;
-    set_timer(timeout_at_);
+    timer_.restart_timeout(sent_at_);
+    set_timer(timer_.timeout_at());
     callbacks_.on_request_sent();
   }
   wait_readable();
@@ -248,29 +235,33 @@
   const auto on_writable = [self = shared_from_this(), serial = serial_](const error_code& error) {
     if (self->state_ != State::kWriting || serial != self->serial_) return;
     self->is_blocked_ = false;
-    if (error) return self->end(Outcome::kConnectFailed, false);
+    if (error) return self->end(Outcome::kConnectFailed);
     self->guarded([&] { self->write(); });
   };
   socket_.async_wait(tcp::socket::wait_write, on_writable);
 }
 
-// At most one wait is pending; it stays while the connection is idle and is taken over by the next attempt.
+// At most one wait is pending. It stays while the connection is idle, and the next attempt takes it over.
 void Connection::wait_readable() {
   if (is_waiting_readable_ || state_ == State::kClosed) return;
   is_waiting_readable_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& error) {
     self->is_waiting_readable_ = false;
-    if (self->state_ == State::kIdle) {
-      self->owner_.on_idle_ended(self);
-      self->close();
-    } else if (self->state_ == State::kReading || self->state_ == State::kWriting) {
-      if (error) return self->end(self->outcome_of_break(), false);
-      self->guarded([&] { self->read(); });
-    }
+    self->on_readable(error);
   });
 }
 
-// What a connection that breaks now says of its attempt.
+void Connection::on_readable(const error_code& error) {
+  if (state_ == State::kIdle) {
+    owner_.on_idle_ended(shared_from_this());
+    close();
+  } else if (state_ == State::kReading || state_ == State::kWriting) {
+    if (error) return end(outcome_of_break());
+    guarded([&] { read(); });
+  }
+}
+
+// The attempt's outcome where the connection breaks now.
 Outcome Connection::outcome_of_break() const {
   return state_ == State::kWriting ? Outcome::kConnectFailed : Outcome::kConnectionReset;
 }
@@ -279,54 +270,50 @@
   error_code error;
   const std::size_t size = socket_.read_some(asio::buffer(owner_.read_buffer), error);
   if (error == asio::error::would_block) return wait_readable();
-  if (error == asio::error::eof && parser_->finish_at_close()) return end(parser_->outcome(), false);
-  if (error) return end(outcome_of_break(), false);
-  progress_at_ = now();
-  switch (parser_->parse({owner_.read_buffer.data(), size}, [this] { handle_body(); })) {
+  if (error == asio::error::eof && response_.finish_at_close()) return end(response_.outcome());
+  if (error) return end(outcome_of_break());
+  timer_.on_progress();
+  switch (response_.parse({owner_.read_buffer.data(), size}, [this] { handle_body(); })) {
     case ResponseParser::Result::kInvalid:
-      return end(Outcome::kUnknown, false);
-    case ResponseParser::Result::kComplete:
-      return end(parser_->outcome(), state_ == State::kReading && parser_->keeps_connection());
+      return end(Outcome::kUnknown);
+    case ResponseParser::Result::kComplete: {
+      const bool may_reuse = state_ == State::kReading && response_.keeps_connection();
+      return end(response_.outcome(), may_reuse ? Reuse::kAllowed : Reuse::kNever);
+    }
     case ResponseParser::Result::kIncomplete:
-      if (!response_body_ || !response_body_->is_full()) wait_readable();  // else once it is writable
+      if (!response_.is_stream_full()) wait_readable();  // else once the stream is writable
   }
 }
 
-// A body that has arrived is buffered or streamed. Bodies of errors are not forwarded.
 void Connection::handle_body() {
-  std::string& body = parser_->body();
-  if (parser_->status() != kOk) return body.clear();
-  if (response_body_) {
-    response_body_->write(body);
-    return body.clear();
+  switch (response_.receive_body()) {
+    case ResponseReceiver::BodyState::kBuffered:
+      return;
+    case ResponseReceiver::BodyState::kTooLarge:
+      return start_streaming();
+    case ResponseReceiver::BodyState::kUnknownLength:
+      if (timer_.is_buffering()) return;
+      timer_.begin_buffering();
+      return set_timer(std::min(timer_.buffer_until(), timer_.timeout_at()));
   }
-  const auto length = parser_->content_length();
-  const bool is_large =
-      body.size() > memory::kMostBufferedBody || (length && *length > memory::kMostBufferedBody);
-  if (is_large || !body_reservation_.grow_to(body.size())) return start_streaming();
-  if (length || buffer_until_ > 0 || parser_->is_done()) return;
-  buffer_until_ = now() + kBufferTime;
-  set_timer(std::min(buffer_until_, timeout_at_));
 }
 
-// From here on the response is its client's: its bytes are forwarded as they arrive.
+// From now on the response belongs to its client: its bytes are forwarded as they arrive.
 void Connection::start_streaming() {
-  buffer_until_ = 0;
-  response_body_ = std::make_shared<memory::BodyStream>(owner_.io, owner_.body_budget);
-  response_body_->on_writable([self = weak_from_this(), serial = serial_] {
+  timer_.end_buffering();
+  const auto on_writable = [self = weak_from_this(), serial = serial_] {
     const auto connection = self.lock();
-    if (!connection || serial != connection->serial_ || !connection->response_body_) return;
-    if (connection->response_body_->is_abandoned()) return connection->end(Outcome::kCancelled, false);
-    connection->progress_at_ = now();  // the client was waited for
-    connection->wait_readable();
-  });
-  std::string& body = parser_->body();
-  response_body_->write(body);
-  std::string().swap(body);
-  body_reservation_.release();
-  callbacks_.on_response_started(
-      {parser_->content_type(), parser_->content_length(), response_body_, sent_at_});
+    if (connection && serial == connection->serial_) connection->on_stream_writable();
+  };
+  callbacks_.on_response_started(response_.start_streaming(sent_at_, on_writable));
   set_timer(deadline());
 }
 
+void Connection::on_stream_writable() {
+  if (!response_.is_streaming()) return;
+  if (response_.is_stream_abandoned()) return end(Outcome::kCancelled);
+  timer_.on_progress();  // the client was awaited
+  wait_readable();
+}
+
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -1,52 +1,23 @@
 // One connection to a server and, while it carries one, the attempt on it.
 #pragma once
 
-#include <array>
-#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/steady_timer.hpp>
 #include <cstdint>
 #include <list>
 #include <memory>
-#include <optional>
 #include <string>
 
-#include "node/memory/memory_budget.h"
-#include "node/telemetry/metrics.h"
 #include "node/upstream/attempt.h"
+#include "node/upstream/attempt_timer.h"
+#include "node/upstream/connection_owner.h"
 #include "node/upstream/request_writer.h"
-#include "node/upstream/response_parser.h"
+#include "node/upstream/response_receiver.h"
 
 namespace asterdrift::node::upstream {
 
-// s; a connection that has been idle for less has hardly ever gone stale.
+// s; a connection that has been idle for less is rarely stale.
 constexpr double kFreshIdleTime = 0.1;
 
-// What the connections of a pool share, and whom they tell of their changes. Outlives them.
-class ConnectionOwner {
- public:
-  ConnectionOwner(boost::asio::io_context& io, memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
-                  double connect_timeout)
-      : io(io), body_budget(body_budget), metrics(metrics), connect_timeout(connect_timeout) {}
-  virtual ~ConnectionOwner() = default;
-
-  // A connection is no longer being established.
-  virtual void on_connect_ended(const std::shared_ptr<Connection>& connection) = 0;
-  // The attempt has ended, and the connection may carry another one: it is kept, or closed.
-  virtual void on_reusable(const std::shared_ptr<Connection>& connection) = 0;
-  // An idle connection has been closed by its server, or has unexpected bytes; it closes itself after this.
-  virtual void on_idle_ended(const std::shared_ptr<Connection>& connection) = 0;
-  // A connection that had been idle broke under its next request.
-  virtual void on_stale_reset() = 0;
-  virtual void on_closed() = 0;
-
-  boost::asio::io_context& io;
-  memory::MemoryBudget& body_budget;
-  telemetry::Metrics& metrics;
-  const double connect_timeout;                    // s
-  std::array<char, 16UL * 1024> read_buffer = {};  // one for all: the process has one thread
-};
-
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using List = std::list<std::shared_ptr<Connection>>;
@@ -66,7 +37,7 @@
 
   // Ends an attempt unless it has ended.
   void stop(AttemptSerial serial, balancer::Outcome outcome);
-  // Ends an attempt as not sent unless it has been written completely, or is being answered.
+  // Ends an attempt as not sent unless it has been written completely, or its response has begun.
   void withdraw(AttemptSerial serial);
 
   AttemptHandle handle() { return {weak_from_this(), serial_}; }
@@ -84,16 +55,18 @@
 
  private:
   enum class State { kConnecting, kWriting, kReading, kIdle, kClosed };
+  enum class Reuse { kAllowed, kNever };
 
   template <class Step>
   void guarded(const Step& step);
-  void end(balancer::Outcome outcome, bool may_reuse);
+  void end(balancer::Outcome outcome, Reuse reuse = Reuse::kNever);
   balancer::Outcome outcome_of_break() const;
 
   void set_timer(double time);
   void on_timer();
   double deadline() const;
 
+  void wait_for_rest();
   void write();
   bool write_piece();
   bool prepare_next_piece();
@@ -101,35 +74,31 @@
   void wait_writable();
 
   void wait_readable();
+  void on_readable(const boost::system::error_code& error);
   void read();
   void handle_body();
   void start_streaming();
+  void on_stream_writable();
 
   ConnectionOwner& owner_;
   const std::string endpoint_;
   const std::uint64_t generation_;
   State state_ = State::kConnecting;
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer timer_;
   bool is_waiting_readable_ = false;
   double idle_since_ = 0;
 
-  // Of the current attempt. Times on the steady clock.
+  // Of the current attempt. Times are seconds on the steady clock.
   AttemptSerial serial_{};
   std::shared_ptr<UpstreamRequest> request_;
   AttemptCallbacks callbacks_;
+  AttemptTimer timer_;
   RequestWriter writer_;
-  std::optional<ResponseParser> parser_;
-  memory::MemoryReservation body_reservation_;         // for the response's body
-  std::shared_ptr<memory::BodyStream> response_body_;  // once it is streamed
-  bool is_blocked_ = false;                            // the server takes no bytes now
+  ResponseReceiver response_;
+  bool is_blocked_ = false;  // the server takes no bytes now
   double began_at_ = 0;
   double idle_time_ = 0;  // s; how long the connection had been idle before
-  double timeout_ = 0;    // s
-  double timeout_at_ = 0, write_by_ = 0;
-  double sent_at_ = 0;       // see AttemptEnd
-  double progress_at_ = 0;   // when a byte was last sent or received
-  double buffer_until_ = 0;  // a response of unknown length is buffered until then; 0: not set
+  double sent_at_ = 0;    // see AttemptEnd
 };
 
 }  // namespace asterdrift::node::upstream
