--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "node/http/response.h"
+#include "node/net/address.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
 
@@ -71,7 +72,7 @@
   try {
     read_available();
   } catch (const std::exception& error) {
-    telemetry::log_line(std::string("admin connection failed: ") + error.what());
+    telemetry::log_line("admin connection failed: client " + net::peer_text(socket_) + ": " + error.what());
     close();
   }
 }
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -5,6 +5,7 @@
 #include <utility>
 
 #include "node/discovery/poll_timeouts.h"
+#include "node/net/address.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
 
@@ -55,7 +56,7 @@
 // Nothing known is given up before it has brought one.
 void DiscoveryClient::move_to(const boost::asio::ip::tcp::endpoint& address) {
   if (address == address_) return;
-  log_line("discovery: moving to " + address.address().to_string() + ":" + std::to_string(address.port()));
+  log_line("discovery address changed: " + net::to_text(address_) + " -> " + net::to_text(address));
   address_ = address;
   version_.reset();
   snapshot_next_ = had_snapshot_ = false;
@@ -96,7 +97,7 @@
   }
   if (!is_moving_) version_.reset();  // until the list has been applied
   callbacks_.on_list(list);
-  if (!is_connected_) log_line("discovery: reconnected");
+  if (!is_connected_) log_line("discovery connected: " + net::to_text(watch->address()));
   is_connected_ = true;
   last_invalid_.clear();
   budget_.record_valid_list();
@@ -111,7 +112,7 @@
 
 void DiscoveryClient::handle_error(const EndpointWatch* watch, const WatchError& error) {
   if (watch != current_.get() && watch != successor_.get()) return;
-  log_error(error);
+  log_error(watch->address(), error);
   record_error(error);
   if (watch == successor_.get()) {  // the balancer has not asked for this one: it is called again here
     successor_.reset();
@@ -124,10 +125,13 @@
 }
 
 // One line for a connection that was lost, and for each new reason why lists are not valid.
-void DiscoveryClient::log_error(const WatchError& error) {
-  const bool is_new_reason = error.kind == WatchError::Kind::kInvalidList && error.message != last_invalid_;
-  if (is_connected_ || is_new_reason)
-    log_line("discovery: " + error.message + "; keeping the last endpoint list");
+void DiscoveryClient::log_error(const boost::asio::ip::tcp::endpoint& address, const WatchError& error) {
+  const bool is_invalid = error.kind == WatchError::Kind::kInvalidList;
+  const bool is_new_reason = is_invalid && error.message != last_invalid_;
+  if (is_connected_ || is_new_reason) {
+    const std::string event = is_invalid ? "endpoint list rejected: " : "discovery watch failed: ";
+    log_line(event + net::to_text(address) + ": " + error.message + "; keeping the last endpoint list");
+  }
   is_connected_ = false;
 }
 
@@ -144,8 +148,8 @@
   }
   const double wait = budget_.wait(now());
   if (!budget_.is_spent() || wait <= 0) return;
-  log_line("discovery: next call in " + std::to_string(static_cast<int>(std::ceil(wait))) +
-           " s: too many bytes received in vain");
+  log_line("discovery poll delayed: " + net::to_text(address_) + ": next poll in " +
+           std::to_string(static_cast<int>(std::ceil(wait))) + " s, byte budget of failed polls exhausted");
 }
 
 }  // namespace asterdrift::node::discovery
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -49,7 +49,7 @@
   double retry_wait();
   void handle_list(const EndpointWatch* watch, const config::EndpointList& list, std::size_t first_bytes);
   void handle_error(const EndpointWatch* watch, const WatchError& error);
-  void log_error(const WatchError& error);
+  void log_error(const boost::asio::ip::tcp::endpoint& address, const WatchError& error);
   void record_error(const WatchError& error);
 
   boost::asio::io_context& io_;
--- a/node/discovery/endpoint_watch.h
+++ b/node/discovery/endpoint_watch.h
@@ -54,6 +54,7 @@
 
   void start();
   void close();
+  const boost::asio::ip::tcp::endpoint& address() const { return options_.address; }
 
  private:
   void write_request();
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "node/http/response.h"
+#include "node/net/address.h"
 #include "node/net/socket_probe.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
@@ -94,7 +95,8 @@
   try {
     step();
   } catch (const std::exception& error) {
-    telemetry::log_line(std::string("downstream connection failed: ") + error.what());
+    telemetry::log_line("downstream connection failed: client " + net::peer_text(socket_) + ": " +
+                        error.what());
     close();
   }
 }
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -124,7 +124,7 @@
 // Whether to go on; if not, accepting is resumed later.
 bool Server::accept_one() {
   if (state_.connections >= state_.max_connections && !make_room()) {
-    if (!is_full_) log_line("downstream connection limit reached: all connections are busy");
+    if (!is_full_) log_connection_limit();
     is_full_ = true;
     return false;
   }
@@ -144,6 +144,11 @@
   return true;
 }
 
+void Server::log_connection_limit() const {
+  log_line("connection limit reached: all " + std::to_string(state_.connections) +
+           " downstream connections are busy");
+}
+
 void Server::accept_later() {
   if (make_room()) return accept();
   accept_timer_.expires_after(kAcceptRetryDelay);
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -50,6 +50,7 @@
   void accept();
   bool accept_one();
   void accept_later();
+  void log_connection_limit() const;
   void adopt(boost::asio::ip::tcp::socket socket);
   bool make_room();
   void on_connection_closed();
--- a/node/process/main.cpp
+++ b/node/process/main.cpp
@@ -8,6 +8,7 @@
 #include <exception>
 #include <optional>
 #include <stdexcept>
+#include <string>
 #include <thread>
 #include <utility>
 
@@ -33,7 +34,9 @@
     } catch (const boost::system::system_error& error) {
       const bool timed_out = timing::now() - began >= kAddressTimeout;
       if (error.code() != boost::asio::error::address_in_use || timed_out) throw;
-      if (!std::exchange(logged, true)) telemetry::log_line("waiting for addresses in use");
+      if (!std::exchange(logged, true)) {
+        telemetry::log_line(std::string("waiting for an address in use: ") + error.what());
+      }
       std::this_thread::sleep_for(kAddressPeriod);
     }
   }
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -6,6 +6,7 @@
 #include <cstdlib>
 #include <exception>
 
+#include "node/net/address.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
 
@@ -38,10 +39,6 @@
   return std::min(longest, kLongestDeadline);
 }
 
-std::string to_string(const boost::asio::ip::tcp::endpoint& address) {
-  return address.address().to_string() + ":" + std::to_string(address.port());
-}
-
 }  // namespace
 
 Node::Node(const config::NodeConfig& config)
@@ -73,7 +70,7 @@
   callbacks.is_ready = [this] { return server_.is_ready(); };
   callbacks.metrics_report = [this] { return metrics_report(); };
   admin_server_.emplace(io_, address, std::move(callbacks));
-  log_line("admin server on " + to_string(admin_server_->address()));
+  log_line("admin server on " + net::to_text(admin_server_->address()));
 }
 
 void Node::run() {
@@ -92,7 +89,7 @@
     try {
       io_.run();
     } catch (const std::exception& error) {
-      log_line(std::string("unexpected exception: ") + error.what());
+      log_line(std::string("event handler failed: ") + error.what());
     }
   }
 }
@@ -119,7 +116,7 @@
 
 void Node::listen() {
   server_.listen();
-  log_line("listening on " + to_string(server_.address()));
+  log_line("listening on " + net::to_text(server_.address()));
 }
 
 // The limits are the node's and not each process's. Until this process can serve, and the others have shared
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -4,6 +4,7 @@
 #include <exception>
 #include <utility>
 
+#include "node/net/address.h"
 #include "node/net/socket_probe.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
@@ -47,6 +48,7 @@
 }
 
 void Connection::connect(const tcp::endpoint& address) {
+  address_ = address;
   error_code error;
   socket_.open(address.protocol(), error);
   if (error) return end(Outcome::kNotSent);  // no descriptor left: no fault of the server
@@ -133,7 +135,8 @@
   try {
     step();
   } catch (const std::exception& error) {
-    telemetry::log_line("upstream connection to " + endpoint_ + " failed: " + error.what());
+    telemetry::log_line("upstream connection failed: endpoint " + endpoint_ + " (" + net::to_text(address_) +
+                        "): " + error.what());
     end(state_ == State::kReading ? Outcome::kUnknown : Outcome::kConnectFailed);
   }
 }
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -85,6 +85,7 @@
   const std::uint64_t generation_;
   State state_ = State::kConnecting;
   boost::asio::ip::tcp::socket socket_;
+  boost::asio::ip::tcp::endpoint address_;  // of the server, from connect() on
   bool is_waiting_readable_ = false;
   double idle_since_ = 0;
 
