--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -21,11 +21,11 @@
 using boost::system::error_code;
 using timing::now;
 
-constexpr std::size_t kMostHeadBytes = 8UL * 1024;
-constexpr std::size_t kMostDiscardedBytes = 64UL * 1024;  // after the response
-constexpr std::size_t kReadSize = 4096;                   // bytes
-constexpr double kCallTimeout = 2.2;  // s for a call, and as long again to take its response
-constexpr double kCloseTimeout = 1;   // s for a peer to close after its response
+constexpr std::size_t kMaxHeadBytes = 8UL * 1024;
+constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;  // after the response
+constexpr std::size_t kReadSize = 4096;                  // bytes
+constexpr double kRequestTimeout = 2.2;  // s for a call, and as long again to take its response
+constexpr double kCloseTimeout = 1;      // s for a peer to close after its response
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 }
 
 bool AdminConnection::is_overdue() const {
-  return now() - state_since_ > (is_closing() ? kCloseTimeout : kCallTimeout);
+  return now() - state_since_ > (is_closing() ? kCloseTimeout : kRequestTimeout);
 }
 
 void AdminConnection::close_overdue() {
@@ -85,7 +85,7 @@
   if (error) return close();
   if (is_closing()) {
     discarded_bytes_ += size;
-    return discarded_bytes_ > kMostDiscardedBytes ? close() : wait_readable();
+    return discarded_bytes_ > kMaxDiscardedBytes ? close() : wait_readable();
   }
   has_bytes_ = true;
   input_.append(bytes.data(), size);
@@ -98,7 +98,7 @@
   input_.erase(0, used);
   head_bytes_ += used;
   // Beast's own limit does not count complete lines.
-  const bool is_too_long = head_bytes_ + input_.size() > kMostHeadBytes;
+  const bool is_too_long = head_bytes_ + input_.size() > kMaxHeadBytes;
   if (is_too_long || error == beast_http::error::header_limit) return respond(431);
   if (parser_.is_header_done()) return handle_request();
   if (error && error != beast_http::error::need_more) return respond(400);
--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -14,7 +14,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr int kAcceptsAtOnce = 64;  // then other sockets have their turn
+constexpr int kMaxAcceptsPerWait = 64;  // then other sockets have their turn
 constexpr int kBacklog = 256;
 constexpr auto kOverduePeriod = std::chrono::milliseconds(200);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // never a busy loop
@@ -35,7 +35,7 @@
 void AdminServer::accept() {
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](const error_code& error) {
     if (error == boost::asio::error::operation_aborted) return;
-    for (int i = 0; i < kAcceptsAtOnce; ++i) {
+    for (int i = 0; i < kMaxAcceptsPerWait; ++i) {
       if (!accept_one()) return;
     }
     accept();
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -15,7 +15,7 @@
 class AdminServer {
  public:
   // A descriptor for the next one is reserved too.
-  static constexpr std::size_t kMostConnections = 12;
+  static constexpr std::size_t kMaxConnections = 12;
 
   using Callbacks = AdminCallbacks;
 
@@ -35,7 +35,7 @@
 
   boost::asio::io_context& io_;
   const Callbacks callbacks_;
-  std::size_t max_connections_ = kMostConnections;
+  std::size_t max_connections_ = kMaxConnections;
   std::list<std::shared_ptr<AdminConnection>> connections_;  // the oldest first
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_, overdue_timer_;
--- a/node/config/endpoint_list.cpp
+++ b/node/config/endpoint_list.cpp
@@ -62,8 +62,8 @@
 }
 
 EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
-                                std::size_t most_endpoints) {
-  EndpointListReader reader(zones, most_endpoints);
+                                std::size_t max_endpoints) {
+  EndpointListReader reader(zones, max_endpoints);
   std::optional<EndpointList> out;
   while (!text.empty()) {
     const EndpointListReader::Progress progress = reader.feed(text);
--- a/node/config/endpoint_list.h
+++ b/node/config/endpoint_list.h
@@ -36,10 +36,10 @@
 
 constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
 
-// zones: their names in the order of the settings. most_endpoints: a longer list is refused.
+// zones: their names in the order of the settings. max_endpoints: a longer list is refused.
 // Throws EndpointListError.
 EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
-                                std::size_t most_endpoints = kNoLimit);
+                                std::size_t max_endpoints = kNoLimit);
 
 // One entry of a list. Throws json::FormatError.
 ListedEndpoint read_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones);
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 // Bytes of text that are buffered: of one entry, or of all fields that are no entries.
-constexpr std::size_t kMostText = 256UL * 1024;
-constexpr std::size_t kEntryParserMemory = 4096;  // bytes on the stack; the usual entry needs no more
+constexpr std::size_t kMaxBufferedTextBytes = 256UL * 1024;
+constexpr std::size_t kEntryParserBytes = 4096;  // bytes on the stack; the usual entry needs no more
 
 // How many brackets are open in the list itself, between the entries, and in one.
 constexpr std::size_t kListDepth = 1, kEntriesDepth = 2, kEntryDepth = 3;
@@ -119,7 +119,7 @@
 
 void EndpointListReader::buffer(std::string_view text) {
   std::string& to = current_buffer();
-  if (to.size() + text.size() > kMostText) {
+  if (to.size() + text.size() > kMaxBufferedTextBytes) {
     throw EndpointListError("a list with an entry, or other fields, longer than 256 KiB");
   }
   to += text;
@@ -134,11 +134,11 @@
 }
 
 void EndpointListReader::parse_entry() {
-  if (list_.endpoints.size() >= most_endpoints_) {
+  if (list_.endpoints.size() >= max_endpoints_) {
     throw EndpointListError("a list too large for this node's memory: more than " +
-                            std::to_string(most_endpoints_) + " servers");
+                            std::to_string(max_endpoints_) + " servers");
   }
-  std::array<char, kEntryParserMemory> memory;
+  std::array<char, kEntryParserBytes> memory;
   rapidjson::MemoryPoolAllocator<> allocator(memory.data(), memory.size());
   rapidjson::Document entry(&allocator);
   try {
--- a/node/config/endpoint_list_reader.h
+++ b/node/config/endpoint_list_reader.h
@@ -21,9 +21,9 @@
     std::size_t bytes;  // that have been read
   };
 
-  // zones: as for read_endpoint_list; has to outlive the reader. most_endpoints: a longer list is refused.
-  EndpointListReader(const std::vector<std::string>& zones, std::size_t most_endpoints)
-      : zones_(zones), most_endpoints_(most_endpoints) {}
+  // zones: as for read_endpoint_list; has to outlive the reader. max_endpoints: a longer list is refused.
+  EndpointListReader(const std::vector<std::string>& zones, std::size_t max_endpoints)
+      : zones_(zones), max_endpoints_(max_endpoints) {}
 
   // Reads up to the end of an empty line or of a list, or all of `bytes`. Throws EndpointListError where no
   // list can begin or go on so; the reader is of no further use then.
@@ -50,7 +50,7 @@
   std::string& current_buffer();
 
   const std::vector<std::string>& zones_;
-  const std::size_t most_endpoints_;
+  const std::size_t max_endpoints_;
   std::string closers_;  // the brackets that close those which are open
   std::string fields_;   // text of the list without its entries
   std::string entry_;    // text of the entry that is being read
--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -14,19 +14,19 @@
 
 using json::Json;
 
-constexpr int kLeastSockets = 64;
-constexpr double kLeastMemoryMb = 16, kMostMemoryMb = 1e6;
+constexpr int kMinSockets = 64;
+constexpr double kMinMemoryMb = 16, kMaxMemoryMb = 1e6;
 constexpr int kHexadecimal = 16;
 
 // The list that the configuration has under `known`, and the configuration without it: in one document a long
 // list would take ten times its size. Where the text is not well nested nothing is cut out; parsing it tells
 // why.
-struct ConfigParts {
+struct ConfigText {
   std::string_view known;
   std::string rest;
 };
 
-ConfigParts split_known(std::string_view text) {
+ConfigText split_known(std::string_view text) {
   constexpr std::string_view kKey = "\"known\"";
   std::size_t depth = 0, begin = 0;
   bool in_string = false, is_next = false;
@@ -76,11 +76,10 @@
 
 void read_limits(const Json& limits, NodeConfig& out) {
   const int sockets = json::integer_or(limits, "sockets", static_cast<int>(out.max_sockets));
-  if (sockets < kLeastSockets) json::throw_unexpected("sockets", "64 or more");
+  if (sockets < kMinSockets) json::throw_unexpected("sockets", "64 or more");
   out.max_sockets = static_cast<std::size_t>(sockets);
   const double memory = json::number_or(limits, "memory_mb", static_cast<double>(out.memory_mb));
-  if (!(memory >= kLeastMemoryMb && memory < kMostMemoryMb))
-    json::throw_unexpected("memory_mb", "16 or more");
+  if (!(memory >= kMinMemoryMb && memory < kMaxMemoryMb)) json::throw_unexpected("memory_mb", "16 or more");
   out.memory_mb = static_cast<std::size_t>(memory);
 }
 
@@ -97,7 +96,7 @@
 }
 
 NodeConfig parse_config(const std::string& text) {
-  const ConfigParts parts = split_known(text);
+  const ConfigText parts = split_known(text);
   const rapidjson::Document in = json::parse(parts.rest);
   NodeConfig out;
   out.name = json::string(in, "name");
@@ -111,7 +110,7 @@
   read_settings(json::require(in, "settings"), out);
   if (json::find(in, "known") != nullptr) json::throw_unexpected("known", "an object");
   if (!parts.known.empty()) {
-    out.known_endpoints = read_endpoint_list(parts.known, out.zones, most_endpoints(out.memory_mb));
+    out.known_endpoints = read_endpoint_list(parts.known, out.zones, max_endpoints(out.memory_mb));
     out.known_endpoints->is_snapshot = true;
   }
   return out;
@@ -119,7 +118,7 @@
 
 }  // namespace
 
-std::size_t most_endpoints(std::size_t memory_mb) { return memory_mb * 1024 * 1024 / 2 / kBytesPerEndpoint; }
+std::size_t max_endpoints(std::size_t memory_mb) { return memory_mb * 1024 * 1024 / 2 / kBytesPerEndpoint; }
 
 NodeConfig read_config(const std::string& text) {
   try {
--- a/node/config/node_config.h
+++ b/node/config/node_config.h
@@ -36,7 +36,7 @@
 // Half of the node's memory is for endpoints; a longer list is refused. An endpoint takes about 470 bytes in
 // the balancer and the pools, and 650 while a snapshot is being applied.
 constexpr std::size_t kBytesPerEndpoint = 600;
-std::size_t most_endpoints(std::size_t memory_mb);
+std::size_t max_endpoints(std::size_t memory_mb);
 
 // Throws ConfigurationError.
 NodeConfig read_config(const std::string& text);
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -29,15 +29,15 @@
 DiscoveryClient::~DiscoveryClient() = default;
 
 void DiscoveryClient::watch() {
-  if (current_ || is_moving_) return;
+  if (current_ || is_changing_address_) return;
   const double wait = budget_.wait(now());
-  if (wait > 0) return call_later(wait, [this] { start_watch(); });
+  if (wait > 0) return schedule(wait, [this] { start_watch(); });
   start_watch();
 }
 
 std::shared_ptr<EndpointWatch> DiscoveryClient::new_watch() {
   const EndpointWatch::Options options = {address_, needs_snapshot() ? std::nullopt : version_, is_pushed(),
-                                          config_.zones, config::most_endpoints(config_.memory_mb)};
+                                          config_.zones, config::max_endpoints(config_.memory_mb)};
   EndpointWatch::Callbacks callbacks;
   callbacks.on_list = [this](EndpointWatch* watch, config::EndpointList&& list, std::size_t first_bytes) {
     handle_list(watch, list, first_bytes);
@@ -47,20 +47,20 @@
 }
 
 void DiscoveryClient::start_watch() {
-  if (current_ || is_moving_) return;
+  if (current_ || is_changing_address_) return;
   current_ = new_watch();
   current_->start();
 }
 
 // The new address is called at once and for a snapshot, since its versions need not be those of the old one.
 // Nothing known is given up before it has brought one.
-void DiscoveryClient::move_to(const boost::asio::ip::tcp::endpoint& address) {
+void DiscoveryClient::change_address(const boost::asio::ip::tcp::endpoint& address) {
   if (address == address_) return;
   log_line("discovery address changed: " + net::to_text(address_) + " -> " + net::to_text(address));
   address_ = address;
   version_.reset();
   snapshot_next_ = had_snapshot_ = false;
-  is_moving_ = true;
+  is_changing_address_ = true;
   budget_.allow_now();
   retry_timer_.cancel();
   if (successor_) successor_->close();
@@ -72,7 +72,7 @@
   successor_->start();
 }
 
-void DiscoveryClient::call_later(double wait, std::function<void()> call) {
+void DiscoveryClient::schedule(double wait, std::function<void()> call) {
   retry_timer_.expires_after(timing::duration_of(wait));
   retry_timer_.async_wait([call = std::move(call)](const error_code& error) {
     if (!error) call();
@@ -93,9 +93,9 @@
   if (watch == successor_.get()) {
     if (current_) current_->close();  // what an abandoned watch says later is old
     current_ = std::exchange(successor_, nullptr);
-    is_moving_ = false;
+    is_changing_address_ = false;
   }
-  if (!is_moving_) version_.reset();  // until the list has been applied
+  if (!is_changing_address_) version_.reset();  // until the list has been applied
   callbacks_.on_list(list);
   if (!is_connected_) log_line("discovery connected: " + net::to_text(watch->address()));
   is_connected_ = true;
@@ -104,7 +104,7 @@
   if (list.is_snapshot && had_snapshot_) {
     budget_.record_waste(now(), first_bytes, jitter(), PollBudget::Waste::kRepeated);
   }
-  if (is_moving_) return;
+  if (is_changing_address_) return;
   had_snapshot_ = had_snapshot_ || list.is_snapshot;
   snapshot_next_ = false;
   version_ = list.version;
@@ -116,11 +116,11 @@
   record_error(error);
   if (watch == successor_.get()) {  // the balancer has not asked for this one: it is called again here
     successor_.reset();
-    return call_later(retry_wait(), [this] { start_successor(); });
+    return schedule(retry_wait(), [this] { start_successor(); });
   }
   current_.reset();
-  if (is_moving_) return;
-  if (is_pushed()) call_later(retry_wait(), [this] { start_watch(); });
+  if (is_changing_address_) return;
+  if (is_pushed()) schedule(retry_wait(), [this] { start_watch(); });
   callbacks_.on_watch_failed();
 }
 
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -35,7 +35,7 @@
   void watch();
 
   // Discovery is at another address from now on. Until that has brought a list, the old watch still counts.
-  void move_to(const boost::asio::ip::tcp::endpoint& address);
+  void change_address(const boost::asio::ip::tcp::endpoint& address);
 
  private:
   bool is_pushed() const { return !config_.settings.requires_watch; }
@@ -45,7 +45,7 @@
   std::shared_ptr<EndpointWatch> new_watch();
   void start_watch();
   void start_successor();
-  void call_later(double wait, std::function<void()> call);
+  void schedule(double wait, std::function<void()> call);
   double retry_wait();
   void handle_list(const EndpointWatch* watch, const config::EndpointList& list, std::size_t first_bytes);
   void handle_error(const EndpointWatch* watch, const WatchError& error);
@@ -61,7 +61,7 @@
   bool had_snapshot_ = false;             // from this address
   std::shared_ptr<EndpointWatch> current_;
   std::shared_ptr<EndpointWatch> successor_;  // at an address that has not brought a list yet
-  bool is_moving_ = false;                    // there is such an address
+  bool is_changing_address_ = false;          // there is such an address
   bool is_connected_ = true;                  // the last event was a list, not an error
   std::string last_invalid_;                  // message of the last list that was not valid, logged once
   PollBudget budget_;
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -26,7 +26,7 @@
     : options_(options),
       callbacks_(std::move(callbacks)),
       stream_(io),
-      reader_(options.zones, options.most_endpoints) {
+      reader_(options.zones, options.max_endpoints) {
   parser_.body_limit(boost::none);
   parser_.eager(true);
 }
--- a/node/discovery/endpoint_watch.h
+++ b/node/discovery/endpoint_watch.h
@@ -40,7 +40,7 @@
     std::optional<std::uint64_t> since;  // only changes after this version; none: a snapshot first
     bool is_pushed = false;              // discovery is an agent on this machine
     const std::vector<std::string>& zones;
-    std::size_t most_endpoints = 0;
+    std::size_t max_endpoints = 0;
   };
 
   struct Callbacks {
--- a/node/discovery/poll_budget.h
+++ b/node/discovery/poll_budget.h
@@ -17,7 +17,7 @@
   static constexpr double kFirstBackoff = 0.25;        // s, after a list that is not valid; then doubled
   // Lists may be valid again at any moment, so that this and a call that hangs stay under the 6 s after which
   // a change counts as notified. What costs more in the long run is limited by the bytes.
-  static constexpr double kMostBackoff = 3;  // s
+  static constexpr double kMaxBackoff = 3;  // s
 
   enum class Waste {
     kTruncated,  // the call failed or broke within a list
@@ -32,7 +32,7 @@
     updated_at_ = now;
     if (!is_spent()) return;
     const double wait = -bytes_left_ / kBytesPerSecond * (1 + jitter / 2);
-    const double longest = kMostBackoff * (0.5 + jitter / 2);
+    const double longest = kMaxBackoff * (0.5 + jitter / 2);
     defer_until(now + (waste == Waste::kInvalid ? wait : std::min(wait, longest)));
   }
 
@@ -40,7 +40,7 @@
   bool is_spent() const { return bytes_left_ < 0; }
 
   void record_invalid_list(double now, double jitter) {
-    backoff_ = std::min(std::max(backoff_ * 2, kFirstBackoff), kMostBackoff);
+    backoff_ = std::min(std::max(backoff_ * 2, kFirstBackoff), kMaxBackoff);
     defer_until(now + backoff_ * (0.5 + jitter / 2));
   }
 
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -16,13 +16,13 @@
 
 // A request that has been read and is valid.
 struct DownstreamRequest {
-  balancer::Request facts;  // the dispatcher fills in id, time_left and body_arriving
+  balancer::Request balancer_request;  // the dispatcher fills in id, time_left and body_arriving
   std::shared_ptr<upstream::UpstreamRequest> forwarded;
   std::string client_id;   // of the client's Request-Id header
   double received_at = 0;  // on the steady clock
   double timeout = 0;      // s, from when the client sent its last byte
   // Whether the client has closed its side of the connection; empty: that cannot be known.
-  std::function<bool()> has_client_left;
+  std::function<bool()> has_client_disconnected;
 };
 
 // The final response.
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -97,15 +97,15 @@
 
 RequestId RequestDispatcher::dispatch(DownstreamRequest request, ResponseCallback on_response) {
   const RequestId id = requests_.next_id();
-  request.facts.id = to_text(id);
-  request.facts.body_arriving = request.forwarded->body_rest != nullptr;
-  request.facts.time_left = deadline_of(request).attempts_end_at() - now();
+  request.balancer_request.id = to_text(id);
+  request.balancer_request.body_arriving = request.forwarded->body_rest != nullptr;
+  request.balancer_request.time_left = deadline_of(request).attempts_end_at() - now();
   request.forwarded->is_awaited = [this, id] { return is_awaited(id); };
   const auto in_flight =
       std::make_shared<InFlightRequest>(io_, id, std::move(request), std::move(on_response));
   requests_.insert(in_flight);
   if (!in_flight->request.forwarded->body_rest) set_deadline(*in_flight);
-  balancer_.post(in_flight->request.facts);
+  balancer_.post(in_flight->request.balancer_request);
   return id;
 }
 
@@ -128,8 +128,8 @@
 bool RequestDispatcher::is_awaited(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return false;
-  const auto& has_client_left = request->request.has_client_left;
-  if (!has_client_left || !has_client_left()) return true;
+  const auto& has_client_disconnected = request->request.has_client_disconnected;
+  if (!has_client_disconnected || !has_client_disconnected()) return true;
   client_disconnected(id);
   return false;
 }
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -68,13 +68,13 @@
   return true;
 }
 
-void Connection::close_if_client_left() {
-  if (reader_.is_paused() && has_client_left()) close();
+void Connection::close_if_client_disconnected() {
+  if (reader_.is_paused() && has_client_disconnected()) close();
 }
 
 bool Connection::close_if_slow(double limit) {
   if (now() - (has_responded_ ? reader_.began_at() : connected_at_) < limit) return false;
-  if (!reader_.is_behind(now())) return false;
+  if (!reader_.is_too_slow(now())) return false;
   error_code ignored;
   if (!is_in(State::kFresh)) socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
   close();
@@ -101,7 +101,7 @@
   }
 }
 
-bool Connection::has_client_left() { return net::has_peer_left(socket_.native_handle()); }
+bool Connection::has_client_disconnected() { return net::has_peer_disconnected(socket_.native_handle()); }
 
 // One wait is pending at any time, also while a response is awaited: otherwise a disconnection would not be
 // noticed.
@@ -123,7 +123,7 @@
   if (error) return close();
   if (is_in(State::kClosing)) {
     discarded_bytes_ += size;
-    return discarded_bytes_ > memory::kLargestBody ? close() : wait_readable();
+    return discarded_bytes_ > memory::kMaxBodyBytes ? close() : wait_readable();
   }
   const std::string_view bytes(server_.read_buffer.data(), size);
   if (is_in(State::kWaiting) || is_in(State::kWriting)) {
@@ -187,7 +187,7 @@
 
 // The last byte of a streamed body has arrived.
 void Connection::finish_upload() {
-  if (has_client_left()) return close();
+  if (has_client_disconnected()) return close();
   reader_.finish_upload();
   enter(State::kWaiting);
   if (request_id_) server_.dispatcher.body_received(*request_id_);
@@ -214,9 +214,10 @@
     throw RequestError(kBadRequest, "a body where none belongs");
   }
   server_.check_not_in_flight(reader_.api_request()->client_id);
-  if (server_.is_crowded() || !server_.dispatcher.list_is_current()) throw RequestError(kServiceUnavailable);
+  if (server_.is_overloaded() || !server_.dispatcher.list_is_current())
+    throw RequestError(kServiceUnavailable);
   // The request may have waited in the machine's queue for longer than its client did.
-  if (has_client_left()) {
+  if (has_client_disconnected()) {
     close();
     return false;
   }
@@ -239,9 +240,9 @@
 dispatch::DownstreamRequest Connection::take_request() {
   dispatch::DownstreamRequest request = reader_.take_api_request();
   request.received_at = now();
-  request.has_client_left = [self = weak_from_this()] {
+  request.has_client_disconnected = [self = weak_from_this()] {
     const auto connection = self.lock();
-    return !connection || (!connection->is_dispatching_ && connection->has_client_left());
+    return !connection || (!connection->is_dispatching_ && connection->has_client_disconnected());
   };
   return request;
 }
@@ -276,8 +277,8 @@
   const bool is_uploading = is_in(State::kUploading);
   const bool client_reads_chunks = reader_.client_reads_chunks();
   closes_after_response_ = close_connection || is_uploading ||
-                           ends_with_connection(response, client_reads_chunks) ||
-                           !reader_.keeps_connection() || server_.has_too_many_connections() || must_close();
+                           ends_with_connection(response, client_reads_chunks) || !reader_.is_keep_alive() ||
+                           server_.has_too_many_connections() || must_close();
   response_status_ = response.status;
   reader_.release();
   const bool head_only = std::exchange(is_head_request_, false);
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -33,7 +33,7 @@
   bool close_if_idle();
   // Closes it where its upload is paused and its client has disconnected: the bytes of a paused upload are
   // not read, so that the disconnection would not be noticed.
-  void close_if_client_left();
+  void close_if_client_disconnected();
   // Closes it where it has sent an incomplete request and has had `limit` s. Returns whether it has been
   // closed.
   bool close_if_slow(double limit);
@@ -50,7 +50,7 @@
   void enter(State state) { state_.enter(state, weak_from_this().lock()); }
   bool is_in(State state) const { return state_.current() == state; }
   bool awaits_response() const { return is_in(State::kWaiting) || is_in(State::kUploading); }
-  bool has_client_left();
+  bool has_client_disconnected();
 
   void wait_readable();
   void read();
--- a/node/downstream/input_buffer.cpp
+++ b/node/downstream/input_buffer.cpp
@@ -8,7 +8,7 @@
 
 // Bytes that are buffered without a reservation.
 constexpr std::size_t kUnreservedPipelinedBytes = 8UL * 1024;
-constexpr std::size_t kMaxPipelinedBytes = RequestParser::kMostHeadBytes + memory::kMostBufferedBody;
+constexpr std::size_t kMaxPipelinedBytes = RequestParser::kMaxHeadBytes + memory::kMaxBufferedBodyBytes;
 
 }  // namespace
 
--- a/node/downstream/receive_pace.h
+++ b/node/downstream/receive_pace.h
@@ -27,15 +27,15 @@
   double began_at() const { return began_at_; }
   bool is_in_head() const { return head_at_ == 0; }
   // Whether too little of the request has arrived for its time. A head is always behind: it has one limit.
-  bool is_behind(double now) const {
+  bool is_too_slow(double now) const {
     if (is_in_head()) return true;
-    const double allowed = kBodyGrace + static_cast<double>(body_bytes_) / kLeastBytesPerSecond;
+    const double allowed = kBodyGrace + static_cast<double>(body_bytes_) / kMinBytesPerSecond;
     return now - head_at_ - paused_for_ > allowed;
   }
 
  private:
   static constexpr double kBodyGrace = 0.7;  // s after the head
-  static constexpr double kLeastBytesPerSecond = 40e3;
+  static constexpr double kMinBytesPerSecond = 40e3;
 
   double began_at_ = 0;
   double head_at_ = 0;  // 0 while the head is arriving
--- a/node/downstream/request_parser.cpp
+++ b/node/downstream/request_parser.cpp
@@ -27,7 +27,7 @@
 
 // Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit, and takes the
 // body for more of the head.
-RequestParser::RequestParser() { parser_.body_limit(memory::kLargestBody); }
+RequestParser::RequestParser() { parser_.body_limit(memory::kMaxBodyBytes); }
 
 RequestParser::Event RequestParser::parse(std::string_view& bytes) {
   const bool in_head = !parser_.is_header_done();
@@ -37,7 +37,7 @@
   bytes.remove_prefix(used);
   // Beast's own limit does not count complete lines.
   if (in_head) head_bytes_ += used;
-  if (head_bytes_ > kMostHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
+  if (head_bytes_ > kMaxHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
   if (error == beast_http::error::need_more) return Event::kNeedsMore;
   if (error) throw RequestError(status_of(error));
   if (in_head && parser_.is_header_done()) return Event::kHead;
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -24,7 +24,7 @@
     kBody        // a part of the body
   };
 
-  static constexpr std::size_t kMostHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
+  static constexpr std::size_t kMaxHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
 
   RequestParser();
 
@@ -34,7 +34,7 @@
   bool is_done() const { return parser_.is_done(); }
   const Head& head() const { return parser_.get().base(); }
   boost::beast::http::verb method() const { return parser_.get().method(); }
-  bool keeps_connection() const { return parser_.get().keep_alive(); }
+  bool is_keep_alive() const { return parser_.get().keep_alive(); }
   bool client_reads_chunks() const;  // HTTP/1.1
   std::optional<std::uint64_t> content_length() const;
   // The part of the body that has been parsed; the caller may take it away.
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -31,7 +31,7 @@
   input.erase(0, input.size() - bytes.size());
   if (begins_upload) return Result::kUpload;
   if (parser_->is_done()) return Result::kComplete;
-  if (input.size() > RequestParser::kMostHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
+  if (input.size() > RequestParser::kMaxHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
   if (!upload_ || !upload_->is_full()) return Result::kNeedsMore;
   pace_.pause(timing::now());
   return Result::kPaused;
@@ -41,16 +41,16 @@
   const RequestParser::Head& head = parser_->head();
   pace_.on_head(timing::now());
   client_reads_chunks_ = parser_->client_reads_chunks();
-  keeps_connection_ = parser_->keeps_connection();
+  is_keep_alive_ = parser_->is_keep_alive();
   body_reservation_ = memory::MemoryReservation(server_.body_budget);
   RequestValidator::check_framing(head);
   if (RequestValidator::path_of(head) == "/api") {
     request_.emplace(server_.validator.read(head));
-    request_class_ = request_->facts.request_class;
+    request_class_ = request_->balancer_request.request_class;
     server_.check_not_in_flight(request_->client_id);
   }
   const std::uint64_t length =
-      std::min<std::uint64_t>(parser_->content_length().value_or(0), memory::kMostBufferedBody);
+      std::min<std::uint64_t>(parser_->content_length().value_or(0), memory::kMaxBufferedBodyBytes);
   if (!body_reservation_.grow_to(length, headroom(server_.body_budget))) {
     throw RequestError(kServiceUnavailable, "no memory to spare");
   }
@@ -67,11 +67,11 @@
     return false;
   }
   pace_.set_body_bytes(body.size());
-  const std::size_t buffered = std::min(body.size(), memory::kMostBufferedBody);
+  const std::size_t buffered = std::min(body.size(), memory::kMaxBufferedBodyBytes);
   if (!body_reservation_.grow_to(buffered, headroom(server_.body_budget))) {
     throw RequestError(kServiceUnavailable);
   }
-  if (body.size() < memory::kMostBufferedBody || parser_->is_done()) return false;
+  if (body.size() < memory::kMaxBufferedBodyBytes || parser_->is_done()) return false;
   begin_upload();
   return true;
 }
@@ -117,9 +117,9 @@
   body_reservation_ = {};
 }
 
-bool RequestReader::is_behind(double now) const {
+bool RequestReader::is_too_slow(double now) const {
   const bool waits_for_server = !pace_.is_in_head() && upload_ && upload_->is_full();
-  return !waits_for_server && pace_.is_behind(now);
+  return !waits_for_server && pace_.is_too_slow(now);
 }
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -62,7 +62,7 @@
   void finish_upload();
 
   // Of the last request whose head was complete.
-  bool keeps_connection() const { return keeps_connection_; }
+  bool is_keep_alive() const { return is_keep_alive_; }
   bool client_reads_chunks() const { return client_reads_chunks_; }
   // Index of the class of a valid request to /api, until it is cleared.
   const std::optional<std::size_t>& request_class() const { return request_class_; }
@@ -72,7 +72,7 @@
   double began_at() const { return pace_.began_at(); }
   void resume(double now) { pace_.resume(now); }
   bool is_paused() const { return pace_.is_paused(); }
-  bool is_behind(double now) const;
+  bool is_too_slow(double now) const;
 
  private:
   void handle_head();
@@ -87,7 +87,7 @@
   memory::MemoryReservation body_reservation_;
   std::shared_ptr<memory::BodyStream> upload_;  // the rest of the body
   ReceivePace pace_;
-  bool keeps_connection_ = false, client_reads_chunks_ = false;
+  bool is_keep_alive_ = false, client_reads_chunks_ = false;
   std::optional<std::size_t> request_class_;
 };
 
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -17,15 +17,16 @@
 namespace beast_http = boost::beast::http;
 using Head = RequestParser::Head;
 
-constexpr double kLongestTimeout = 600;           // s
-constexpr std::size_t kLongestHeaderValue = 128;  // bytes of an id or a key
-constexpr std::size_t kLongestTarget = 2048;      // bytes
-constexpr std::size_t kMostLengthDigits = 18;
+constexpr double kMaxTimeout = 600;                // s
+constexpr std::size_t kMaxHeaderValueBytes = 128;  // bytes of an id or a key
+constexpr std::size_t kMaxTargetBytes = 2048;      // bytes
+constexpr std::size_t kMaxLengthDigits = 18;
 
 // The headers with a meaning here, at most one of each; they are forwarded to the server, except for the
 // timeout.
-constexpr std::array kOwnHeaders = {"Request-Id",      "Request-Class", "Tenant",    "Request-Timeout-Ms",
-                                    "Idempotency-Key", "Client-Retry",  "Work-Hint", "Request-Info"};
+constexpr std::array kInterpretedHeaders = {"Request-Id",         "Request-Class",   "Tenant",
+                                            "Request-Timeout-Ms", "Idempotency-Key", "Client-Retry",
+                                            "Work-Hint",          "Request-Info"};
 // The others that are forwarded. All else says nothing to a server, or belongs to the one connection.
 constexpr std::array kForwardedHeaders = {"Host", "Cookie", "Content-Type"};
 
@@ -48,28 +49,28 @@
     }
   };
   for (const char* name : kForwardedHeaders) forward(name);
-  for (const char* name : kOwnHeaders) {
+  for (const char* name : kInterpretedHeaders) {
     if (std::string_view(name) != "Request-Timeout-Ms") forward(name);
   }
   return request;
 }
 
 // A header that this node would read in one way and a server in another is rejected.
-void check_own_headers(const Head& head) {
-  for (const char* name : kOwnHeaders) {
+void check_interpreted_headers(const Head& head) {
+  for (const char* name : kInterpretedHeaders) {
     if (head.count(name) > 1) throw RequestError(kBadRequest, "a header twice");
-    if (head[name].size() > kLongestHeaderValue && std::string_view(name) != "Request-Info") {
+    if (head[name].size() > kMaxHeaderValueBytes && std::string_view(name) != "Request-Info") {
       throw RequestError(kBadRequest, "a header too long");
     }
   }
-  if (head.target().size() > kLongestTarget) throw RequestError(kUriTooLong, "target too long");
+  if (head.target().size() > kMaxTargetBytes) throw RequestError(kUriTooLong, "target too long");
 }
 
 double read_timeout(const Head& head, double timeout_of_class) {
   if (head.count("Request-Timeout-Ms") == 0) return timeout_of_class;
   const auto ms = parse_integer(view(head["Request-Timeout-Ms"]));
   if (!ms || *ms == 0) throw RequestError(kBadRequest, "bad Request-Timeout-Ms");
-  return std::min(static_cast<double>(*ms) / 1000, kLongestTimeout);
+  return std::min(static_cast<double>(*ms) / 1000, kMaxTimeout);
 }
 
 std::optional<double> read_announced_work(const Head& head) {
@@ -105,7 +106,7 @@
   if (lengths + encodings > 1) throw RequestError(kBadRequest, "more than one length");
   if (lengths == 1) {
     const std::string_view length = view(head[beast_http::field::content_length]);
-    if (length.empty() || length.size() > kMostLengthDigits || !parse_integer(length)) {
+    if (length.empty() || length.size() > kMaxLengthDigits || !parse_integer(length)) {
       throw RequestError(kBadRequest, "bad Content-Length");
     }
   }
@@ -115,17 +116,17 @@
 }
 
 dispatch::DownstreamRequest RequestValidator::read(const Head& head) const {
-  check_own_headers(head);
+  check_interpreted_headers(head);
   dispatch::DownstreamRequest out;
   out.client_id = std::string(view(head["Request-Id"]));
   if (out.client_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
-  out.facts.request_class = read_class(head);
-  out.facts.tenant = read_tenant(head);
-  const balancer::RequestClass& request_class = classes_[out.facts.request_class];
+  out.balancer_request.request_class = read_class(head);
+  out.balancer_request.tenant = read_tenant(head);
+  const balancer::RequestClass& request_class = classes_[out.balancer_request.request_class];
   check_class(head, request_class);
   out.timeout = read_timeout(head, request_class.timeout);
-  out.facts.announced_work = read_announced_work(head);
-  out.facts.is_client_retry = head["Client-Retry"] == "1";
+  out.balancer_request.announced_work = read_announced_work(head);
+  out.balancer_request.is_client_retry = head["Client-Retry"] == "1";
   out.forwarded = forwarded_request(head);
   return out;
 }
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -27,8 +27,8 @@
 constexpr double kCloseTimeout = 1;  // s for a client to close after its last response
 // s in which a new connection, or a request that is being read, is not evicted.
 constexpr double kEvictionAge = 0.25;
-constexpr int kEvictionAttempts = 16;  // connections examined to find one that can be evicted
-constexpr int kAcceptsAtOnce = 64;     // then other sockets have their turn
+constexpr int kEvictionAttempts = 16;   // connections examined to find one that can be evicted
+constexpr int kMaxAcceptsPerWait = 64;  // then other sockets have their turn
 constexpr int kBacklog = 4096;
 constexpr auto kOverduePeriod = std::chrono::milliseconds(100);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // never a busy loop
@@ -98,11 +98,11 @@
 }
 
 void Server::set_max_connections(std::size_t connections) {
-  const bool has_room = connections > state_.max_connections;
+  const bool has_more_capacity = connections > state_.max_connections;
   state_.max_connections = connections;
   std::size_t excess = state_.has_too_many_connections() ? state_.connections - connections : 0;
-  while (excess > 0 && make_room()) --excess;
-  if (has_room && is_full_) accept();
+  while (excess > 0 && evict_one()) --excess;
+  if (has_more_capacity && is_full_) accept();
 }
 
 // Keeps to the limit on descriptors: a connection that does nothing makes room; where there is none, the rest
@@ -114,7 +114,7 @@
     is_accepting_ = false;
     if (error == asio::error::operation_aborted) return;
     if (error) return accept_later();
-    for (int i = 0; i < kAcceptsAtOnce; ++i) {
+    for (int i = 0; i < kMaxAcceptsPerWait; ++i) {
       if (!accept_one()) return;
     }
     accept();
@@ -123,7 +123,7 @@
 
 // Whether to go on; if not, accepting is resumed later.
 bool Server::accept_one() {
-  if (state_.connections >= state_.max_connections && !make_room()) {
+  if (state_.connections >= state_.max_connections && !evict_one()) {
     if (!is_full_) log_connection_limit();
     is_full_ = true;
     return false;
@@ -150,7 +150,7 @@
 }
 
 void Server::accept_later() {
-  if (make_room()) return accept();
+  if (evict_one()) return accept();
   accept_timer_.expires_after(kAcceptRetryDelay);
   accept_timer_.async_wait([this](const error_code& error) {
     if (!error) accept();
@@ -176,7 +176,7 @@
 // The least useful go first: those that have their last response, those that never sent a byte, those that
 // are idle, and last those that are slow to send. Clients that have just connected and are about to send are
 // spared: evicted at once, they would come again and evict each other without end.
-bool Server::make_room() {
+bool Server::evict_one() {
   ConnectionLists& lists = state_.lists;
   if (!lists.closing.empty()) {
     const std::shared_ptr<Connection> oldest = lists.closing.front();
@@ -201,7 +201,7 @@
   for_each_while(lists.reading, close_if_slow);
   for_each_while(lists.uploading, close_if_slow);
   for_each_while(lists.uploading,
-                 [](Connection& connection) { return connection.close_if_client_left(), true; });
+                 [](Connection& connection) { return connection.close_if_client_disconnected(), true; });
   for_each_while(lists.writing,
                  [](Connection& connection) { return connection.close_if_stuck(kWriteTimeout), true; });
   overdue_timer_.expires_after(kOverduePeriod);
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -52,7 +52,7 @@
   void accept_later();
   void log_connection_limit() const;
   void adopt(boost::asio::ip::tcp::socket socket);
-  bool make_room();
+  bool evict_one();
   void on_connection_closed();
   void close_overdue();
 
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -60,7 +60,7 @@
   // Whether this process can serve, as clients and operators are told.
   bool is_ready() const { return dispatcher.is_ready() && is_listening && !is_draining; }
   // Whether so many connections wait for responses that further requests are rejected.
-  bool is_crowded() const { return busy_connections > max_connections - max_connections / 8; }
+  bool is_overloaded() const { return busy_connections > max_connections - max_connections / 8; }
   bool has_too_many_connections() const { return connections > max_connections; }
   // Throws RequestError where a request with this client's id is in flight: a second one might run twice, or
   // its response might go to the wrong client.
--- a/node/memory/body_stream.cpp
+++ b/node/memory/body_stream.cpp
@@ -6,15 +6,15 @@
 namespace asterdrift::node::memory {
 namespace {
 
-constexpr std::size_t kCapacity = 64UL * 1024;       // bytes
-constexpr std::size_t kLeastCapacity = 16UL * 1024;  // bytes, where the budget is spent
+constexpr std::size_t kCapacityBytes = 64UL * 1024;     // bytes
+constexpr std::size_t kMinCapacityBytes = 16UL * 1024;  // bytes, where the budget is spent
 
 }  // namespace
 
 BodyStream::BodyStream(boost::asio::io_context& io, MemoryBudget& budget)
     : io_(io),
       reservation_(budget),
-      capacity_(reservation_.grow_to(kCapacity) ? kCapacity : kLeastCapacity) {}
+      capacity_(reservation_.grow_to(kCapacityBytes) ? kCapacityBytes : kMinCapacityBytes) {}
 
 void BodyStream::write(std::string_view bytes) {
   if (abandoned_ || bytes.empty()) return;
--- a/node/memory/body_stream.h
+++ b/node/memory/body_stream.h
@@ -14,9 +14,9 @@
 
 // Bodies up to this size are buffered, so that they can be sent again or wait for a retry's response; larger
 // ones are streamed.
-constexpr std::size_t kMostBufferedBody = 64UL * 1024;  // bytes
+constexpr std::size_t kMaxBufferedBodyBytes = 64UL * 1024;  // bytes
 // Larger bodies are rejected.
-constexpr std::size_t kLargestBody = 40UL * 1024 * 1024;  // bytes
+constexpr std::size_t kMaxBodyBytes = 40UL * 1024 * 1024;  // bytes
 
 // A bounded buffer between a writer and a reader. Each is notified later, never from within its own call,
 // that the other has moved.
--- a/node/net/socket_probe.cpp
+++ b/node/net/socket_probe.cpp
@@ -20,7 +20,7 @@
 
 bool has_unread_bytes(int socket) { return peek(socket) > 0; }
 
-bool has_peer_left(int socket) {
+bool has_peer_disconnected(int socket) {
   const ssize_t size = peek(socket);
   if (size <= 0) return size == 0 || (!is_empty(errno) && errno != EINTR);
   pollfd hang_up{socket, POLLRDHUP, 0};
--- a/node/net/socket_probe.h
+++ b/node/net/socket_probe.h
@@ -8,7 +8,7 @@
 
 // Whether the peer has ended its side of the connection, be it behind bytes that are not read yet, or the
 // connection has broken.
-bool has_peer_left(int socket);
+bool has_peer_disconnected(int socket);
 
 // Whether the connection is open and nothing has arrived.
 bool is_quiet(int socket);
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -27,16 +27,16 @@
 constexpr auto kDrainPeriod = std::chrono::milliseconds(20);
 constexpr double kAcceptTime = 0.55;        // s; new connections are accepted for so long
 constexpr double kCloseTime = 0.1;          // s after that, before a node without connections ends
-constexpr double kLongestDeadline = 3;      // s
+constexpr double kMaxDeadline = 3;          // s
 constexpr double kHandOverTime = 1.2;       // s before the longest deadline, clients are sent to other nodes
 constexpr double kHandOverTimeAlone = 0.1;  // s before the final responses, where there is no other node
 constexpr double kFinalResponseDelay = 0.45;  // s after the longest deadline; what is open then is answered
 constexpr double kWriteTime = 0.1;            // s after that, for responses to be written
 
-double longest_deadline(const balancer::Settings& settings) {
+double max_deadline(const balancer::Settings& settings) {
   double longest = 0;
   for (const balancer::RequestClass& c : settings.classes) longest = std::max(longest, c.timeout);
-  return std::min(longest, kLongestDeadline);
+  return std::min(longest, kMaxDeadline);
 }
 
 }  // namespace
@@ -47,7 +47,7 @@
       process_group_(std::getenv("TMPDIR"), config.listen_address),
       limits_(config, 1 + process_group_.count_others(State::kAlive)),
       started_at_(now()),
-      final_response_time_(longest_deadline(config.settings) + kFinalResponseDelay),
+      final_response_time_(max_deadline(config.settings) + kFinalResponseDelay),
       is_only_replica_(config.settings.replica_count == 1),
       discovery_(io_, config,
                  {[this](const config::EndpointList& list) { dispatcher_.apply(list); },
@@ -107,7 +107,7 @@
     if (error) return;
     await_reload();
     try {
-      discovery_.move_to(config::load_config().discovery_address);
+      discovery_.change_address(config::load_config().discovery_address);
     } catch (const config::ConfigurationError& failure) {
       log_line(std::string("configuration unchanged: ") + failure.what());
     }
--- a/node/process/process_group.cpp
+++ b/node/process/process_group.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kLockFilePrefix = "nettlestand-";
 constexpr const char* kLockFileSuffix = ".lock";
 
-constexpr int kMostProcesses = 8;
+constexpr int kMaxProcesses = 8;
 constexpr int kStates = 3;  // a byte for each state of each process
 
 // Sets or queries a lock. For a request, whether it has succeeded; for F_GETLK, whether another process holds
@@ -37,8 +37,8 @@
 }
 
 bool is_own_regular_file(int file) {
-  struct stat facts {};
-  return ::fstat(file, &facts) == 0 && S_ISREG(facts.st_mode) && facts.st_uid == ::geteuid();
+  struct stat status {};
+  return ::fstat(file, &status) == 0 && S_ISREG(status.st_mode) && status.st_uid == ::geteuid();
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
 }
 
 bool ProcessGroup::take_slot(int file) {
-  for (slot_ = 0; slot_ < kMostProcesses; ++slot_) {
+  for (slot_ = 0; slot_ < kMaxProcesses; ++slot_) {
     if (lock(file, F_WRLCK, byte_of(slot_, State::kAlive), 1, F_SETLK)) return true;
   }
   return false;
@@ -73,8 +73,8 @@
 std::size_t ProcessGroup::count_others(State state) const {
   std::size_t count = 0;
   // One query tells that there is no other process, as nearly always.
-  if (file_ < 0 || !lock(file_, F_WRLCK, 0, kMostProcesses * kStates, F_GETLK)) return count;
-  for (int slot = 0; slot < kMostProcesses; ++slot) {
+  if (file_ < 0 || !lock(file_, F_WRLCK, 0, kMaxProcesses * kStates, F_GETLK)) return count;
+  for (int slot = 0; slot < kMaxProcesses; ++slot) {
     if (slot != slot_ && lock(file_, F_WRLCK, byte_of(slot, state), 1, F_GETLK)) ++count;
   }
   return count;
--- a/node/process/resource_limits.cpp
+++ b/node/process/resource_limits.cpp
@@ -9,9 +9,9 @@
 
 // Sockets for the event loop, standard streams, discovery and the admin server, with headroom; and the least
 // of these where the node's processes share a small limit.
-constexpr std::size_t kOtherSockets = 40, kLeastOtherSockets = 20;
-constexpr std::size_t kLeastAdminConnections = 2;
-constexpr std::size_t kBodyPart = 3;  // of the memory, bodies may take up a third
+constexpr std::size_t kOtherSockets = 40, kMinOtherSockets = 20;
+constexpr std::size_t kMinAdminConnections = 2;
+constexpr std::size_t kBodyMemoryDivisor = 3;  // of the memory, bodies may take up a third
 constexpr std::size_t kBytesPerMb = 1024UL * 1024;
 
 }  // namespace
@@ -19,12 +19,12 @@
 ResourceLimits::ResourceLimits(const config::NodeConfig& config, std::size_t processes)
     : processes(processes) {
   const std::size_t all = config.max_sockets / processes;
-  const std::size_t other = std::max(kLeastOtherSockets, std::min(kOtherSockets, all * 5 / 8));
+  const std::size_t other = std::max(kMinOtherSockets, std::min(kOtherSockets, all * 5 / 8));
   const std::size_t sockets = all > other ? all - other : 1;
   upstream_connections = std::max<std::size_t>(sockets * 9 / 20, 1);
   downstream_connections = std::max<std::size_t>(sockets * 11 / 20, 1);
-  admin_connections = std::max(admin::AdminServer::kMostConnections / processes, kLeastAdminConnections);
-  body_bytes = config.memory_mb * kBytesPerMb / kBodyPart / processes;
+  admin_connections = std::max(admin::AdminServer::kMaxConnections / processes, kMinAdminConnections);
+  body_bytes = config.memory_mb * kBytesPerMb / kBodyMemoryDivisor / processes;
 }
 
 }  // namespace asterdrift::node::process
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -17,8 +17,8 @@
 
 // Replaces what the report's form gives a meaning to.
 std::string reported_name(std::string name) {
-  const auto is_special = [](unsigned char c) { return c <= ' ' || c == ':' || c == '|' || c == 0x7f; };
-  std::replace_if(name.begin(), name.end(), is_special, '_');
+  const auto is_reserved = [](unsigned char c) { return c <= ' ' || c == ':' || c == '|' || c == 0x7f; };
+  std::replace_if(name.begin(), name.end(), is_reserved, '_');
   return name;
 }
 
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -280,7 +280,7 @@
     case ResponseParser::Result::kInvalid:
       return end(Outcome::kUnknown);
     case ResponseParser::Result::kComplete: {
-      const bool may_reuse = state_ == State::kReading && response_.keeps_connection();
+      const bool may_reuse = state_ == State::kReading && response_.is_keep_alive();
       return end(response_.outcome(), may_reuse ? Reuse::kAllowed : Reuse::kNever);
     }
     case ResponseParser::Result::kIncomplete:
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -13,7 +13,8 @@
 using timing::now;
 
 constexpr double kAvoidIdleTime = 10;  // s after a stale connection
-constexpr double kIdleTimePart = 0.9;  // of the servers' idle timeout; older connections are not reused
+constexpr double kMaxIdleTimeFraction =
+    0.9;  // of the servers' idle timeout; older connections are not reused
 
 void add_connecting(const std::vector<std::shared_ptr<Connection>>& connecting,
                     std::vector<AttemptHandle>& attempts) {
@@ -26,7 +27,7 @@
                                memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
                                std::size_t max_connections)
     : ConnectionOwner(io, body_budget, metrics, config.connect_timeout),
-      most_idle_time_(config.server_idle_timeout * kIdleTimePart),
+      max_idle_time_(config.server_idle_timeout * kMaxIdleTimeFraction),
       max_connections_(max_connections),
       expiry_timer_(io) {
   close_expired();
@@ -50,7 +51,7 @@
     idle->start_writing();
     return {idle, serial};
   }
-  if (!make_room()) {
+  if (!ensure_capacity()) {
     callbacks.on_end({Outcome::kNotSent, {}, {}, {}, 0});
     return {};
   }
@@ -82,21 +83,21 @@
     if (now() < avoid_idle_until_ && now() - last->idle_since() >= kFreshIdleTime) return nullptr;
     endpoint.idle.pop_back();
     idle_.erase(last->idle_position);
-    if (now() - last->idle_since() < most_idle_time_ && !last->is_stale()) return last;
+    if (now() - last->idle_since() < max_idle_time_ && !last->is_stale()) return last;
     last->close();
   }
   return nullptr;
 }
 
 // Whether another connection may be opened: the longest idle ones make room for it.
-bool ConnectionPool::make_room() {
+bool ConnectionPool::ensure_capacity() {
   while (open_connections_ >= max_connections_ && !idle_.empty()) close_oldest_idle();
   return open_connections_ < max_connections_;
 }
 
 void ConnectionPool::set_max_connections(std::size_t connections) {
   max_connections_ = connections;
-  make_room();
+  ensure_capacity();
 }
 
 void ConnectionPool::on_connect_ended(const std::shared_ptr<Connection>& connection) {
@@ -136,9 +137,9 @@
 }
 
 void ConnectionPool::close_expired() {
-  while (!idle_.empty() && now() - idle_.front()->idle_since() >= most_idle_time_) close_oldest_idle();
+  while (!idle_.empty() && now() - idle_.front()->idle_since() >= max_idle_time_) close_oldest_idle();
   const double idle_time = idle_.empty() ? 0 : now() - idle_.front()->idle_since();
-  expiry_timer_.expires_after(timing::duration_of(most_idle_time_ - idle_time));
+  expiry_timer_.expires_after(timing::duration_of(max_idle_time_ - idle_time));
   expiry_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
   });
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -64,7 +64,7 @@
 
   PooledEndpoint* find(const std::string& name);
   std::shared_ptr<Connection> take_idle(PooledEndpoint& endpoint);
-  bool make_room();
+  bool ensure_capacity();
   void remove_idle(const std::shared_ptr<Connection>& connection);
   void close_oldest_idle();
   void close_idle(PooledEndpoint& endpoint);
@@ -72,7 +72,7 @@
   void apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& stopped);
   void remove(Endpoints::iterator endpoint, std::vector<AttemptHandle>& stopped);
 
-  const double most_idle_time_;  // s
+  const double max_idle_time_;  // s
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
   double avoid_idle_until_ = 0;  // reused connections have broken under their next request lately
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -11,8 +11,8 @@
 using balancer::Outcome;
 using boost::system::error_code;
 
-constexpr std::size_t kMostHeadBytes = 16UL * 1024;  // of a response's head and of a chunk's
-constexpr int kMostInterimResponses = 8;
+constexpr std::size_t kMaxHeadBytes = 16UL * 1024;  // of a response's head and of a chunk's
+constexpr int kMaxInterimResponses = 8;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
 // Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit.
 void ResponseParser::begin_message() {
   parser_.emplace();
-  parser_->body_limit(memory::kLargestBody);
+  parser_->body_limit(memory::kMaxBodyBytes);
   head_bytes_ = 0;
 }
 
@@ -29,7 +29,7 @@
   unparsed_.append(bytes);
   const Result result = parse_unparsed(on_body);
   if (result != Result::kIncomplete) return result;
-  return unparsed_.size() > kMostHeadBytes ? Result::kInvalid : Result::kIncomplete;
+  return unparsed_.size() > kMaxHeadBytes ? Result::kInvalid : Result::kIncomplete;
 }
 
 ResponseParser::Result ResponseParser::parse_unparsed(const std::function<void()>& on_body) {
@@ -42,12 +42,12 @@
     from += used;
     if (in_head) head_bytes_ += used;
     if (error && error != beast_http::error::need_more) return Result::kInvalid;
-    if (head_bytes_ > kMostHeadBytes) return Result::kInvalid;
-    if (in_head && parser_->is_header_done() && !has_sound_head()) return Result::kInvalid;
+    if (head_bytes_ > kMaxHeadBytes) return Result::kInvalid;
+    if (in_head && parser_->is_header_done() && !has_unambiguous_length()) return Result::kInvalid;
     if (parser_->is_header_done() && !is_interim()) on_body();
     if (error == beast_http::error::need_more) break;
     if (parser_->is_done() && is_interim()) {
-      if (++interim_responses_ > kMostInterimResponses) return Result::kInvalid;
+      if (++interim_responses_ > kMaxInterimResponses) return Result::kInvalid;
       begin_message();
     } else if (used == 0) {
       break;
@@ -79,7 +79,7 @@
 }
 
 // Whether a head leaves no doubt where its response ends.
-bool ResponseParser::has_sound_head() const {
+bool ResponseParser::has_unambiguous_length() const {
   const auto& head = parser_->get();
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
   if (head.count(beast_http::field::content_length) + encodings > 1) return false;
--- a/node/upstream/response_parser.h
+++ b/node/upstream/response_parser.h
@@ -38,12 +38,12 @@
   std::string& body() { return parser_->get().body(); }
   bool is_done() const { return parser_->is_done(); }
   // After a complete response: whether the connection may carry another request.
-  bool keeps_connection() const { return parser_->get().keep_alive() && unparsed_.empty(); }
+  bool is_keep_alive() const { return parser_->get().keep_alive() && unparsed_.empty(); }
 
  private:
   void begin_message();
   bool is_interim() const;
-  bool has_sound_head() const;
+  bool has_unambiguous_length() const;
   Result parse_unparsed(const std::function<void()>& on_body);
 
   std::string unparsed_;
--- a/node/upstream/response_receiver.cpp
+++ b/node/upstream/response_receiver.cpp
@@ -31,7 +31,7 @@
   }
   const auto length = parser_->content_length();
   const bool is_large =
-      body.size() > memory::kMostBufferedBody || (length && *length > memory::kMostBufferedBody);
+      body.size() > memory::kMaxBufferedBodyBytes || (length && *length > memory::kMaxBufferedBodyBytes);
   if (is_large || !reservation_.grow_to(body.size())) return BodyState::kTooLarge;
   return length || parser_->is_done() ? BodyState::kBuffered : BodyState::kUnknownLength;
 }
--- a/node/upstream/response_receiver.h
+++ b/node/upstream/response_receiver.h
@@ -39,7 +39,7 @@
   BodyState receive_body();
   // See ResponseParser.
   bool finish_at_close() { return parser_->finish_at_close(); }
-  bool keeps_connection() const { return parser_->keeps_connection(); }
+  bool is_keep_alive() const { return parser_->is_keep_alive(); }
   balancer::Outcome outcome() const { return parser_->outcome(); }
 
   // The body that has been buffered, and what follows, goes into a stream from now on. sent_at: see
--- a/tests/node_unit/endpoint_list_reader_test.cpp
+++ b/tests/node_unit/endpoint_list_reader_test.cpp
@@ -135,8 +135,8 @@
   const std::string long_list = R"({"hosts":[)" + entries(27000) + R"(],"whole":true,"seq":3})";
   EXPECT_EQ(read(long_list, 4096, 27000).at(0).endpoints.size(), 27000U);
   EXPECT_THROW(read(long_list, 4096, 26999), std::exception);
-  EXPECT_GE(most_endpoints(32), 27000U);
-  EXPECT_LT(most_endpoints(16), 27000U);
+  EXPECT_GE(max_endpoints(32), 27000U);
+  EXPECT_LT(max_endpoints(16), 27000U);
   const std::string spaces(1000000, ' ');
   EXPECT_EQ(read("{" + spaces + R"("seq":3,"hosts":[)" + spaces + entry(1) + spaces + "]}", 4096).size(), 1U);
   const std::string much(1000000, 'x');  // text that is no entry, or one endless entry, is held whole
--- a/tests/node_unit/poll_budget_test.cpp
+++ b/tests/node_unit/poll_budget_test.cpp
@@ -50,7 +50,7 @@
     for (const std::size_t bytes : {std::size_t{300}, std::size_t{30000}, std::size_t{4000000}}) {
       const auto [rate, longest] = useless_day(bytes, why);
       EXPECT_LE(longest + poll_timeouts::kSilence, poll_timeouts::kNotifiedAfter) << bytes;
-      EXPECT_LE(rate, std::max(29000.0, static_cast<double>(bytes) / PollBudget::kMostBackoff) + 200)
+      EXPECT_LE(rate, std::max(29000.0, static_cast<double>(bytes) / PollBudget::kMaxBackoff) + 200)
           << bytes;
     }
   }
