--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -6,6 +6,7 @@
 #include <cstdlib>
 #include <exception>
 
+#include "node/net/address.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
 
@@ -26,20 +27,16 @@
 constexpr auto kDrainPeriod = std::chrono::milliseconds(20);
 constexpr double kAcceptTime = 0.55;        // s; new connections are accepted for so long
 constexpr double kCloseTime = 0.1;          // s after that, before a node without connections ends
-constexpr double kLongestDeadline = 3;      // s
+constexpr double kMaxDeadline = 3;          // s
 constexpr double kHandOverTime = 1.2;       // s before the longest deadline, clients are sent to other nodes
 constexpr double kHandOverTimeAlone = 0.1;  // s before the final responses, where there is no other node
 constexpr double kFinalResponseDelay = 0.45;  // s after the longest deadline; what is open then is answered
 constexpr double kWriteTime = 0.1;            // s after that, for responses to be written
 
-double longest_deadline(const balancer::Settings& settings) {
+double max_deadline(const balancer::Settings& settings) {
   double longest = 0;
   for (const balancer::RequestClass& c : settings.classes) longest = std::max(longest, c.timeout);
-  return std::min(longest, kLongestDeadline);
-}
-
-std::string to_string(const boost::asio::ip::tcp::endpoint& address) {
-  return address.address().to_string() + ":" + std::to_string(address.port());
+  return std::min(longest, kMaxDeadline);
 }
 
 }  // namespace
@@ -50,7 +47,7 @@
       process_group_(std::getenv("TMPDIR"), config.listen_address),
       limits_(config, 1 + process_group_.count_others(State::kAlive)),
       started_at_(now()),
-      final_response_time_(longest_deadline(config.settings) + kFinalResponseDelay),
+      final_response_time_(max_deadline(config.settings) + kFinalResponseDelay),
       is_only_replica_(config.settings.replica_count == 1),
       discovery_(io_, config,
                  {[this](const config::EndpointList& list) { dispatcher_.apply(list); },
@@ -73,7 +70,7 @@
   callbacks.is_ready = [this] { return server_.is_ready(); };
   callbacks.metrics_report = [this] { return metrics_report(); };
   admin_server_.emplace(io_, address, std::move(callbacks));
-  log_line("admin server on " + to_string(admin_server_->address()));
+  log_line("admin server on " + net::to_text(admin_server_->address()));
 }
 
 void Node::run() {
@@ -92,7 +89,7 @@
     try {
       io_.run();
     } catch (const std::exception& error) {
-      log_line(std::string("unexpected exception: ") + error.what());
+      log_line(std::string("event handler failed: ") + error.what());
     }
   }
 }
@@ -110,7 +107,7 @@
     if (error) return;
     await_reload();
     try {
-      discovery_.move_to(config::load_config().discovery_address);
+      discovery_.change_address(config::load_config().discovery_address);
     } catch (const config::ConfigurationError& failure) {
       log_line(std::string("configuration unchanged: ") + failure.what());
     }
@@ -119,7 +116,7 @@
 
 void Node::listen() {
   server_.listen();
-  log_line("listening on " + to_string(server_.address()));
+  log_line("listening on " + net::to_text(server_.address()));
 }
 
 // The limits are the node's and not each process's. Until this process can serve, and the others have shared
