--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -8,8 +8,8 @@
 
 #include "balancer/endpoint_set.h"
 #include "balancer/subset.h"
-#include "support/event_stream.h"
 #include "support/random_endpoint_updates.h"
+#include "support/random_event_stream.h"
 
 namespace {
 std::size_t allocated = 0;  // bytes asked for by anything in this program
@@ -46,9 +46,9 @@
   for (const auto& [servers, digest] : before) {
     std::uint64_t all = 0;
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
-      EventStream stream(seed, servers);
+      RandomEventStream stream(seed, servers);
       stream.run(4000);
-      EXPECT_GT(stream.repeats(), 0U);
+      EXPECT_GT(stream.retries(), 0U);
       all = all * 31 + stream.digest();
     }
     EXPECT_EQ(all, digest) << servers << " servers: " << std::hex << all;
--- a/tests/support/simulated_call_chain.cpp
+++ b/tests/support/simulated_call_chain.cpp
@@ -17,7 +17,7 @@
 }
 
 SimulatedCallChain::SimulatedCallChain(CallChainScenario scenario)
-    : scenario_(std::move(scenario)), random_state_(scenario_.seed) {
+    : scenario_(std::move(scenario)), random_(scenario_.seed) {
   counts_.tiers.resize(static_cast<std::size_t>(scenario_.tiers));
   for (int tier = 0; tier < scenario_.tiers; ++tier) add_tier(tier);
 }
@@ -65,17 +65,9 @@
   }
 }
 
-// SplitMix64.
-double SimulatedCallChain::random_unit() {
-  std::uint64_t mixed = (random_state_ += 0x9E3779B97F4A7C15ULL);
-  mixed = (mixed ^ (mixed >> 30)) * 0xBF58476D1CE4E5B9ULL;
-  mixed = (mixed ^ (mixed >> 27)) * 0x94D049BB133111EBULL;
-  return static_cast<double>((mixed ^ (mixed >> 31)) >> 11) * 0x1.0p-53;
-}
-
 // With equal response times the module's estimate of their spread is zero, and an attempt times out in the
 // instant of its response.
-double SimulatedCallChain::service_time() { return scenario_.mean_service_time * (0.5 + random_unit()); }
+double SimulatedCallChain::service_time() { return scenario_.mean_service_time * (0.5 + random_.unit()); }
 
 std::size_t SimulatedCallChain::replica_at(int tier, std::size_t server) const {
   if (tier == 0) return 0;
@@ -145,7 +137,7 @@
   request.attempts.push_back(sent);
   queue_.schedule(queue_.now() + send.timeout,
                   [this, id = send.id, attempt] { end_attempt(id, attempt, Outcome::kTimedOut); });
-  const std::optional<Outcome> failure = scenario_.failure(request.tier, queue_.now(), random_unit());
+  const std::optional<Outcome> failure = scenario_.failure(request.tier, queue_.now(), random_.unit());
   if (failure) {
     sent->connect_failed = failure == Outcome::kConnectFailed;
     if (sent->connect_failed) ++counts.connect_failures;
--- a/tests/support/simulated_call_chain.h
+++ b/tests/support/simulated_call_chain.h
@@ -13,6 +13,7 @@
 
 #include "asterdrift/balancer/balancer.h"
 #include "support/event_queue.h"
+#include "support/random.h"
 
 namespace asterdrift::balancer {
 
@@ -95,7 +96,6 @@
   void send_first_request();
   void count_response(Response response);
 
-  double random_unit();
   double service_time();
   std::size_t replica_at(int tier, std::size_t server) const;
 
@@ -114,7 +114,7 @@
   void end_attempt(const std::string& id, int attempt, Outcome outcome);
 
   CallChainScenario scenario_;
-  std::uint64_t random_state_;
+  support::Random random_;
   std::uint64_t sent_requests_ = 0;
   EventQueue queue_;
   std::vector<std::unique_ptr<Balancer>> replicas_;
