--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -26,10 +26,11 @@
   for (int i = 0; i < calls; ++i) {
     replica.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    if (all<SendAttempt>(replica.request(id)).empty()) continue;
+    if (only<SendAttempt>(replica.request(id)).empty()) continue;
     ++admitted;
-    const auto after = replica.end(id, outcome);
-    for (const SendAttempt& again : all<SendAttempt>(after)) replica.end(again.id, Outcome::kSuccess, 1);
+    const auto after = replica.end_attempt(id, outcome);
+    for (const SendAttempt& again : only<SendAttempt>(after))
+      replica.end_attempt(again.id, Outcome::kSuccess, 1);
   }
   return admitted;
 }
@@ -50,7 +51,7 @@
 
 TEST(AdmissionControl, RequestsBelowRateLimitAreAdmitted) {
   TestReplica replica(one_tenant(100));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   EXPECT_EQ(offer(replica, 0, 10, 50, "a"), 500);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
 }
@@ -59,7 +60,7 @@
   Settings s = one_tenant(10);
   s.over_quota_priority_weight = 0;  // the limit stays where it starts
   TestReplica replica(s);
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const int admitted = offer(replica, 0, 8, 4 * limit, "a");
   const TenantView view = replica.balancer.tenant(replica.now, 0);
@@ -71,13 +72,13 @@
 
 TEST(AdmissionControl, AllAreDeniedAtHardLimit) {
   TestReplica replica(one_tenant(10));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const double flood = 400 * limit;
   int late_admissions = 0;
   for (int i = 0; i < static_cast<int>(flood); ++i) {
     replica.now = i / flood;
-    const bool sent = !all<SendAttempt>(replica.request("r" + std::to_string(i))).empty();
+    const bool sent = !only<SendAttempt>(replica.request("r" + std::to_string(i))).empty();
     if (i > flood * 0.9 && sent) ++late_admissions;
   }
   EXPECT_EQ(late_admissions, 0);
@@ -86,7 +87,7 @@
 
 TEST(AdmissionControl, WindowExpires) {
   TestReplica replica(one_tenant(10));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
   EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(1.35, 0).total, 500);
@@ -99,7 +100,7 @@
   Settings s = one_tenant(100);
   s.over_quota_priority_weight = 0;
   TestReplica replica(s);
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const int soft = static_cast<int>(1.5 * limit);
   const auto pour = [&](double time, int calls, const std::string& prefix) {
@@ -107,9 +108,9 @@
     for (int i = 0; i < calls; ++i) {
       replica.now = time;
       const std::string id = prefix + std::to_string(i);
-      if (all<SendAttempt>(replica.request(id)).empty()) continue;
+      if (only<SendAttempt>(replica.request(id)).empty()) continue;
       ++admitted;
-      replica.end(id, Outcome::kSuccess);
+      replica.end_attempt(id, Outcome::kSuccess);
     }
     return admitted;
   };
@@ -122,14 +123,14 @@
 
 TEST(AdmissionControl, DeniedRequestIsRejectedWithoutAttempt) {
   TestReplica replica(one_tenant(10));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   int refused = 0;
   for (int i = 0; i < 900; ++i) {
     replica.now = 0.001 * i;
     const auto actions = replica.request("r" + std::to_string(i));
-    EXPECT_EQ(all<RejectRequest>(actions).size() + all<SendAttempt>(actions).size(), 1U);
-    refused += static_cast<int>(all<RejectRequest>(actions).size());
-    if (!all<SendAttempt>(actions).empty()) replica.end("r" + std::to_string(i), Outcome::kSuccess);
+    EXPECT_EQ(only<RejectRequest>(actions).size() + only<SendAttempt>(actions).size(), 1U);
+    refused += static_cast<int>(only<RejectRequest>(actions).size());
+    if (!only<SendAttempt>(actions).empty()) replica.end_attempt("r" + std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_GT(refused, 300);
   EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, refused);
@@ -137,7 +138,7 @@
 
 TEST(TenantRateLimit, RisesWhileRequestsFinishInTime) {
   TestReplica replica(one_tenant(10));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   const double before = replica.balancer.tenant(0, 0).rate_limit;
   offer(replica, 0, 10, before * 0.9, "a");
   EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
@@ -146,7 +147,7 @@
 
 TEST(TenantRateLimit, DropsOnRejectionsButNotBelowQuota) {
   TestReplica replica(one_tenant(100));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   offer(replica, 0, 40, 120, "up");
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
@@ -161,20 +162,20 @@
   Settings s = one_tenant(8 * 20);
   s.replica_count = 20;
   TestReplica replica(s);
-  replica.at(0, members(16));
+  replica.handle(0, make_snapshot(16));
   int denied = 0;
   for (int i = 0; i < 480; ++i) {  // its part, 8 a second; every sixth is answered late in its aim
     replica.now = i / 8.0;
     const std::string id = std::to_string(i);
-    denied += static_cast<int>(all<RejectRequest>(replica.request(id)).size());
-    replica.end(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
+    denied += static_cast<int>(only<RejectRequest>(replica.request(id)).size());
+    replica.end_attempt(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
   }
   EXPECT_EQ(denied, 0);
 }
 
 TEST(TenantRateLimit, IsLoweredOncePerReview) {
   TestReplica replica(one_tenant(100));
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   offer(replica, 0, 0.9, 200, "a", Outcome::kRejected);
   const double once = replica.balancer.tenant(replica.now, 0).rate_limit;
   offer(replica, 0.9, 0.05, 200, "b", Outcome::kRejected);
@@ -190,13 +191,13 @@
       s.tier = tier;
       if (named) s.tenants = {{std::nullopt}};
       TestReplica replica(s);
-      replica.at(0, members(16));
+      replica.handle(0, make_snapshot(16));
       int denied = 0;
       for (int i = 0; i < 1200; ++i) {  // every sixth is answered late in its aim
         replica.now = i / 20.0;
         const std::string id = std::to_string(i);
-        denied += static_cast<int>(all<RejectRequest>(replica.request(id)).size());
-        replica.end(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
+        denied += static_cast<int>(only<RejectRequest>(replica.request(id)).size());
+        replica.end_attempt(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
       }
       EXPECT_LT(denied, 60) << "tier " << tier;
     }
@@ -206,7 +207,7 @@
 // And what no server answers any more is still held back.
 TEST(TenantRateLimit, WithoutQuotaIsLoweredByRejections) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(16));
+  replica.handle(0, make_snapshot(16));
   offer(replica, 0, 20, 40, "a");
   offer(replica, 20, 60, 40, "b", Outcome::kRejected);
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
@@ -217,7 +218,7 @@
   Settings s = one_tenant(400);
   s.replica_count = 400;
   TestReplica replica(s);
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   offer(replica, 0, 60, 3, "a", Outcome::kRejected);
   EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 1);
 }
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -23,7 +23,7 @@
   r.id = id;
   r.time_left = 6;
   r.body_arriving = true;
-  const std::vector<SendAttempt> sent = all<SendAttempt>(replica.at(replica.now, r));
+  const std::vector<SendAttempt> sent = only<SendAttempt>(replica.handle(replica.now, r));
   return sent.empty() ? "" : sent[0].endpoint;
 }
 
@@ -38,7 +38,7 @@
   s.replica_count = replicas;
   s.tenants = {{rate * replicas}};
   TestReplica replica(s);
-  replica.at(0, members(servers));
+  replica.handle(0, make_snapshot(servers));
   FleetDay day;
   struct End {
     std::string id;
@@ -49,14 +49,14 @@
   std::multimap<double, End> due;
   std::uint64_t draw = 7;
   const auto sends = [&](const std::vector<Action>& actions, int number, int attempt) {
-    for (const SendAttempt& send : all<SendAttempt>(actions)) {
+    for (const SendAttempt& send : only<SendAttempt>(actions)) {
       const double took = answer_time * (number % 4 == 0 ? 2.5 : 0.5);  // one in four is a long one
       const bool late = took >= send.timeout;
       const double ends = std::min(took, send.timeout);
       due.emplace(replica.now + ends,
                   End{send.id, attempt, ends, late ? Outcome::kTimedOut : Outcome::kSuccess});
     }
-    return static_cast<int>(all<SendAttempt>(actions).size());
+    return static_cast<int>(only<SendAttempt>(actions).size());
   };
   double now = 0;
   for (int i = 0; now < seconds; ++i) {
@@ -66,11 +66,12 @@
       replica.now = due.begin()->first;
       const End end = due.begin()->second;
       due.erase(due.begin());
-      sends(replica.end(end.id, end.outcome, end.attempt, end.took), std::stoi(end.id), end.attempt + 1);
+      sends(replica.end_attempt(end.id, end.outcome, end.attempt, end.took), std::stoi(end.id),
+            end.attempt + 1);
     }
     replica.now = now;
     const auto actions = replica.request(std::to_string(i));
-    day.refused += static_cast<int>(all<RejectRequest>(actions).size());
+    day.refused += static_cast<int>(only<RejectRequest>(actions).size());
     day.sent += sends(actions, i, 0);
   }
   return day;
@@ -79,14 +80,14 @@
 // Calls to a server that has stopped answering wait for nothing, and behind each other.
 TEST(ConcurrencyLimit, RequestsToUnresponsiveEndpointsAreBounded) {
   TestReplica replica(roomy_settings());
-  replica.at(0, members(3));
+  replica.handle(0, make_snapshot(3));
   int sent = 0;
   int refused = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.01;
     const auto actions = replica.request(std::to_string(i));
-    sent += static_cast<int>(all<SendAttempt>(actions).size());
-    refused += static_cast<int>(all<RejectRequest>(actions).size());
+    sent += static_cast<int>(only<SendAttempt>(actions).size());
+    refused += static_cast<int>(only<RejectRequest>(actions).size());
   }
   EXPECT_EQ(sent + refused, 300);
   EXPECT_GT(sent, 3);
@@ -95,38 +96,39 @@
 
 TEST(ConcurrencyLimit, RequestWithArrivingBodyIsNotCounted) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   int sent = 0;
   for (int i = 0; i < 500; ++i) sent += arriving(replica, std::to_string(i)).empty() ? 0 : 1;
   EXPECT_EQ(sent, 500) << "slow clients shut nobody out";
-  for (int i = 0; i < 500; ++i) replica.at(1, RequestBodySent{std::to_string(i), 0});
-  EXPECT_TRUE(all<SendAttempt>(replica.request("next")).empty()) << "from there on the servers have them";
-  for (int i = 0; i < 500; ++i) replica.end(std::to_string(i), Outcome::kCancelled);
-  EXPECT_FALSE(all<SendAttempt>(replica.request("after")).empty());
+  for (int i = 0; i < 500; ++i) replica.handle(1, RequestBodySent{std::to_string(i), 0});
+  EXPECT_TRUE(only<SendAttempt>(replica.request("next")).empty()) << "from there on the servers have them";
+  for (int i = 0; i < 500; ++i) replica.end_attempt(std::to_string(i), Outcome::kCancelled);
+  EXPECT_FALSE(only<SendAttempt>(replica.request("after")).empty());
 }
 
 TEST(ConcurrencyLimit, ReusedSlotIsNotChargedForEarlierEndpoint) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(1));
+  replica.handle(0, make_snapshot(1));
   ASSERT_EQ(arriving(replica, "a"), "s0");
   EndpointUpdate next;
-  next.endpoints = {server(1)};
-  replica.at(0, next);
-  replica.at(1, RequestBodySent{"a", 0});
-  replica.end("a", Outcome::kServerError);
+  next.endpoints = {make_endpoint(1)};
+  replica.handle(0, next);
+  replica.handle(1, RequestBodySent{"a", 0});
+  replica.end_attempt("a", Outcome::kServerError);
   for (int i = 0; i < 3; ++i)
-    EXPECT_FALSE(all<SendAttempt>(replica.request("b" + std::to_string(i))).empty());
+    EXPECT_FALSE(only<SendAttempt>(replica.request("b" + std::to_string(i))).empty());
 }
 
 TEST(ConcurrencyLimit, StreamedResponseCountsFromItsFirstByte) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     replica.now += 0.05;
-    ASSERT_FALSE(all<SendAttempt>(replica.request(id)).empty()) << i;
-    replica.at(replica.now, ResponseStarted{id, 0, 0.1});
-    if (i >= 100) replica.end(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // it took long to pass
+    ASSERT_FALSE(only<SendAttempt>(replica.request(id)).empty()) << i;
+    replica.handle(replica.now, ResponseStarted{id, 0, 0.1});
+    if (i >= 100)
+      replica.end_attempt(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // it took long to pass
   }
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
 }
@@ -138,9 +140,9 @@
     s.replica_index = index;
     s.replica_count = 8;
     TestReplica replica(s, static_cast<std::uint64_t>(index) + 1);
-    replica.at(0, members(10));
+    replica.handle(0, make_snapshot(10));
     for (int i = 0; i < 100; ++i) {
-      for (const SendAttempt& send : all<SendAttempt>(replica.request(std::to_string(i))))
+      for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
         ++held[send.endpoint];
     }
   }
@@ -153,8 +155,8 @@
   Settings s = roomy_settings();
   s.tier = 1;
   TestReplica replica(s);
-  replica.at(0, members(3));
-  for (int i = 0; i < 300; ++i) EXPECT_EQ(all<SendAttempt>(replica.request(std::to_string(i))).size(), 1U);
+  replica.handle(0, make_snapshot(3));
+  for (int i = 0; i < 300; ++i) EXPECT_EQ(only<SendAttempt>(replica.request(std::to_string(i))).size(), 1U);
 }
 
 // A sparse replica took two calls out at once for a queue and refused a tenth of a calm day.
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -29,7 +29,7 @@
 TEST(EndpointIndex, IndexesAndSubsetMatchReferenceList) {
   std::size_t most = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    Settings s = many_replicas(class_of(Idempotency::kIdempotent), seed % 2 == 0 ? 90 : 25);
+    Settings s = many_replicas(make_request_class(Idempotency::kIdempotent), seed % 2 == 0 ? 90 : 25);
     s.replica_index = static_cast<int>(seed) * 3;
     s.zone = 1;
     s.cross_zone_cost = seed % 3 == 0 ? 0 : 0.02;
@@ -97,7 +97,7 @@
   Subset subset;
   support::Random random(1);
   endpoints.apply(fleet(3000), 0, 0, random);
-  Settings s = many_replicas(class_of(Idempotency::kIdempotent), 1);
+  Settings s = many_replicas(make_request_class(Idempotency::kIdempotent), 1);
   s.cross_zone_cost = 0.02;
   subset.update(s, endpoints);
   ASSERT_EQ(subset.size(), 3000U);
@@ -135,8 +135,8 @@
 
 TEST(EndpointIndex, NoAttemptIsSentToDrainingOrRemovedEndpoint) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-    Settings s =
-        many_replicas(class_of(Idempotency::kIdempotencyKey, DedupScope::kCell), seed % 2 == 0 ? 300 : 5);
+    Settings s = many_replicas(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kCell),
+                               seed % 2 == 0 ? 300 : 5);
     s.cross_zone_cost = seed > 2 ? 0.02 : 0;
     TestReplica replica(s, seed);
     PlainList list;
@@ -144,7 +144,7 @@
     support::Random random(seed);
     std::size_t sends = 0;
     const auto check = [&](const std::vector<Action>& actions) {
-      for (const SendAttempt& send : all<SendAttempt>(actions)) {
+      for (const SendAttempt& send : only<SendAttempt>(actions)) {
         ++sends;
         const auto it = list.known.find(send.endpoint);
         ASSERT_TRUE(it != list.known.end() && it->second.state == EndpointState::kReady) << send.endpoint;
@@ -155,12 +155,12 @@
       if (random.below(4) == 0) {
         const EndpointUpdate update = changes.next(list);
         list.learn(update);
-        replica.at(replica.now, update);
+        replica.handle(replica.now, update);
       }
       check(replica.request(std::to_string(step)));
       const std::string late = std::to_string(step - static_cast<int>(random.below(30)));
       const Outcome outcome = random.below(3) == 0 ? Outcome::kConnectionReset : Outcome::kSuccess;
-      for (int attempt = 0; attempt < 3; ++attempt) check(replica.end(late, outcome, attempt, 0.1));
+      for (int attempt = 0; attempt < 3; ++attempt) check(replica.end_attempt(late, outcome, attempt, 0.1));
     }
     EXPECT_GT(sends, 3000U);
   }
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -58,13 +58,13 @@
 TEST(EndpointScale, UpdateCostIsIndependentOfFleetSize) {
   for (const int replicas : {2000, 4}) {
     for (const int servers : {700, 7000, 27000}) {
-      TestReplica replica(many_replicas(class_of(Idempotency::kIdempotent), replicas));
-      replica.at(0, fleet(servers));
+      TestReplica replica(many_replicas(make_request_class(Idempotency::kIdempotent), replicas));
+      replica.handle(0, fleet(servers));
       for (int i = 0; i < 600; ++i) {
         const std::size_t bytes = allocated;
         const std::uint64_t before = examined(replica);
-        replica.at(1 + i, change(numbered(i / 2 * 7919 % servers),
-                                 i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady));
+        replica.handle(1 + i, change(numbered(i / 2 * 7919 % servers),
+                                     i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady));
         ASSERT_LE(examined(replica) - before, kMostInOneChange) << servers << " servers, change " << i;
         ASSERT_LE(allocated - bytes, 20000U) << servers << " servers, change " << i;
       }
@@ -75,24 +75,25 @@
 TEST(EndpointScale, RequestExaminesBoundedNumberOfEndpointsAlsoWhenNoneIsHealthy) {
   for (const int replicas : {2000, 4}) {
     for (const int servers : {700, 7000, 27000}) {
-      Settings s = many_replicas(class_of(Idempotency::kIdempotencyKey, DedupScope::kZone), replicas);
+      Settings s =
+          many_replicas(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kZone), replicas);
       s.tier = replicas == 4 ? 1 : 0;
       s.slow_start_capacity = 0.01;
       s.slow_start_duration = 1e6;
       TestReplica replica(s);
       EndpointUpdate cold = fleet(servers);
       for (Endpoint& told : cold.endpoints) told.started_at = 1;
-      replica.at(1, cold);
+      replica.handle(1, cold);
       for (int i = 0; i < 500; ++i) {
         replica.now += 0.01;
         const std::string id = std::to_string(i);
         std::uint64_t before = examined(replica);
         std::vector<Action> actions = replica.request(id);
         ASSERT_LE(examined(replica) - before, kMostInOneCall);
-        for (int attempt = 0; !all<SendAttempt>(actions).empty(); ++attempt) {
+        for (int attempt = 0; !only<SendAttempt>(actions).empty(); ++attempt) {
           replica.now += 0.001;
           before = examined(replica);
-          actions = replica.end(id, Outcome::kConnectionReset, attempt);
+          actions = replica.end_attempt(id, Outcome::kConnectionReset, attempt);
           ASSERT_LE(examined(replica) - before, kMostInOneCall);
         }
       }
@@ -102,11 +103,11 @@
 
 TEST(EndpointScale, ViewCostIsIndependentOfFleetSize) {
   TestReplica replica(many_replicas());
-  replica.at(0, fleet(27000));
+  replica.handle(0, fleet(27000));
   for (int i = 0; i < 400; ++i) {
     replica.now += 0.01;
     replica.request(std::to_string(i));
-    replica.end(std::to_string(i), Outcome::kSuccess);
+    replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
   const std::uint64_t before = examined(replica);
   EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 27000U);
@@ -119,8 +120,8 @@
   for (int i = 0; i < calls; ++i) {
     replica.now += 0.01;
     const std::string id = "well" + std::to_string(i);
-    for (const SendAttempt& s : all<SendAttempt>(replica.request(id))) out.insert(s.endpoint);
-    replica.end(id, Outcome::kSuccess);
+    for (const SendAttempt& s : only<SendAttempt>(replica.request(id))) out.insert(s.endpoint);
+    replica.end_attempt(id, Outcome::kSuccess);
   }
   return out;
 }
@@ -128,13 +129,13 @@
 TEST(EndpointScale, OtherEndpointsServeWhenSubsetIsFailingUnresponsiveOrDraining) {
   for (const char* what : {"ill", "silent", "draining"}) {
     TestReplica replica(many_replicas());
-    replica.at(0, fleet(7000));
+    replica.handle(0, fleet(7000));
     const std::set<std::string> subset = used_by(replica);
     ASSERT_EQ(subset.size(), 8U);
     if (what == std::string("draining")) {
       for (int i = 0; i < 7000; ++i) {
         if (subset.contains(numbered(i).address)) {
-          replica.at(replica.now, change(numbered(i), EndpointState::kDraining));
+          replica.handle(replica.now, change(numbered(i), EndpointState::kDraining));
         }
       }
     }
@@ -142,15 +143,15 @@
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.01;
       const std::string id = what + std::to_string(i);
-      const std::vector<SendAttempt> sent = all<SendAttempt>(replica.request(id));
+      const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U) << what;
       const bool in_subset = subset.contains(sent[0].endpoint);
       (in_subset ? bad : well) += 1;
       if (what == std::string("silent") && in_subset) continue;
-      if (in_subset && !all<SendAttempt>(replica.end(id, Outcome::kServerError)).empty()) {
-        replica.end(id, Outcome::kSuccess, 1);
+      if (in_subset && !only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError)).empty()) {
+        replica.end_attempt(id, Outcome::kSuccess, 1);
       } else {
-        replica.end(id, Outcome::kSuccess);
+        replica.end_attempt(id, Outcome::kSuccess);
       }
     }
     EXPECT_LE(bad, what == std::string("draining") ? 0 : 60) << what;
@@ -172,22 +173,23 @@
     Endpoint& first = m.endpoints[order[0].second];
     Endpoint& other = m.endpoints[order[3500].second];
     first.cell = other.cell = first.zone = other.zone = 9999;
-    TestReplica replica(many_replicas(class_of(Idempotency::kIdempotencyKey, scope)));
-    replica.at(0, m);
+    TestReplica replica(many_replicas(make_request_class(Idempotency::kIdempotencyKey, scope)));
+    replica.handle(0, m);
     int repeats = 0;
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.5;
       const std::string id = std::to_string(i);
-      const std::vector<SendAttempt> sent = all<SendAttempt>(replica.request(id));
+      const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U);
       if (sent[0].endpoint != first.address) {
-        replica.end(id, Outcome::kSuccess);
+        replica.end_attempt(id, Outcome::kSuccess);
         continue;
       }
-      const std::vector<SendAttempt> again = all<SendAttempt>(replica.end(id, Outcome::kConnectionReset));
+      const std::vector<SendAttempt> again =
+          only<SendAttempt>(replica.end_attempt(id, Outcome::kConnectionReset));
       if (again.empty()) continue;  // no attempt left over
       EXPECT_EQ(again[0].endpoint, other.address);
-      replica.end(id, Outcome::kSuccess, 1);
+      replica.end_attempt(id, Outcome::kSuccess, 1);
       ++repeats;
     }
     EXPECT_GE(repeats, 10);
@@ -202,17 +204,17 @@
   TestReplica replica(s);
   EndpointUpdate m = fleet(7000);
   for (std::size_t i = 1; i < m.endpoints.size(); ++i) m.endpoints[i].started_at = 1;
-  replica.at(1, m);
+  replica.handle(1, m);
   int calls = 0, served = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now += 0.01;
     const std::string id = std::to_string(i);
     const std::uint64_t before = examined(replica);
-    const std::vector<SendAttempt> sent = all<SendAttempt>(replica.request(id));
+    const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
     if (examined(replica) - before >= 4 * kMostExamined)
       ++calls;  // others are turned away before a server is sought
     if (sent.empty()) continue;
-    replica.end(id, Outcome::kSuccess);
+    replica.end_attempt(id, Outcome::kSuccess);
     EXPECT_EQ(sent[0].endpoint, m.endpoints[0].address);
     ++served;
   }
--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -15,10 +15,10 @@
 TEST(EndpointSelection, PrefersLessBusyEndpoint) {
   Settings s = basic_settings();
   TestReplica replica(s);
-  replica.at(0, members(2));
+  replica.handle(0, make_snapshot(2));
   std::map<std::string, int> held;
   for (int i = 0; i < 10; ++i) {
-    for (const SendAttempt& send : all<SendAttempt>(replica.request(std::to_string(i))))
+    for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
       ++held[send.endpoint];
   }
   EXPECT_EQ(held["s0"], 5);
@@ -28,15 +28,15 @@
 // Comparing sizes, a replica with nothing in flight gave every call to the largest server.
 TEST(EndpointSelection, SelectionIsProportionalToWeight) {
   TestReplica replica(basic_settings());
-  EndpointUpdate m = members(2);
+  EndpointUpdate m = make_snapshot(2);
   m.endpoints[1].weight = 3;
-  replica.at(0, m);
+  replica.handle(0, m);
   std::map<std::string, int> used;
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.4;
-    for (const SendAttempt& send : all<SendAttempt>(replica.request(std::to_string(i))))
+    for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
       ++used[send.endpoint];
-    replica.end(std::to_string(i), Outcome::kSuccess);
+    replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
   EXPECT_NEAR(used["s0"], 100, 30);
   EXPECT_NEAR(used["s1"], 300, 30);
@@ -45,10 +45,10 @@
 TEST(EndpointSelection, SameSeedAndEventsGiveSameActions) {
   const auto run = [] {
     TestReplica replica(basic_settings(), 99);
-    replica.at(5, members(12));
+    replica.handle(5, make_snapshot(12));
     std::string out;
     for (int i = 0; i < 200; ++i) {
-      for (const SendAttempt& send : all<SendAttempt>(replica.request(std::to_string(i))))
+      for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
         out += send.endpoint + " ";
     }
     return out;
--- a/tests/balancer/late_connect_test.cpp
+++ b/tests/balancer/late_connect_test.cpp
@@ -10,9 +10,9 @@
 int attempts(TestReplica& replica, const std::string& id, const std::vector<Outcome>& ends) {
   int sent = 0;
   auto actions = replica.request(id);
-  while (!all<SendAttempt>(actions).empty()) {
+  while (!only<SendAttempt>(actions).empty()) {
     const auto at = static_cast<std::size_t>(sent);
-    actions = replica.end(id, at < ends.size() ? ends[at] : Outcome::kSuccess, sent);
+    actions = replica.end_attempt(id, at < ends.size() ? ends[at] : Outcome::kSuccess, sent);
     ++sent;
   }
   return sent;
@@ -24,7 +24,7 @@
   settings.tier = 1;
   settings.tenants = {{1000.0}};
   TestReplica replica(settings);
-  replica.at(0, members(8));
+  replica.handle(0, make_snapshot(8));
   return replica;
 }
 
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -23,11 +23,11 @@
   for (int i = 0; i < static_cast<int>(seconds * rate); ++i) {
     replica.now = from + i / rate;
     const std::string id = prefix + std::to_string(i);
-    auto sends = all<SendAttempt>(replica.request(id));
+    auto sends = only<SendAttempt>(replica.request(id));
     if (!sends.empty()) ++firsts[sends[0].endpoint];
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends =
-          all<SendAttempt>(replica.end(id, sends[0].endpoint == sick ? outcome : Outcome::kSuccess, attempt));
+      sends = only<SendAttempt>(
+          replica.end_attempt(id, sends[0].endpoint == sick ? outcome : Outcome::kSuccess, attempt));
     }
   }
   return firsts;
@@ -42,7 +42,7 @@
 // A server that fails at once has nothing in flight and looks the least busy of all.
 TEST(OutlierDetection, FastFailingEndpointIsEjectedAndReadmitted) {
   TestReplica replica(roomy_settings());
-  replica.at(0, members(6));
+  replica.handle(0, make_snapshot(6));
   const auto ill = play(replica, "s2", Outcome::kServerError, 0, 10, 50, "a");
   EXPECT_LT(ill.at("s2"), 25);
   const auto back = play(replica, "", Outcome::kSuccess, 10, 30, 50, "b");
@@ -52,15 +52,15 @@
 // A server that crowding has slowed keeps its share, and stays crowded.
 TEST(OutlierDetection, SlowEndpointGetsFewerRequests) {
   TestReplica replica(roomy_settings());
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   std::map<std::string, int> used;
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.5;
     const std::string id = std::to_string(i);
-    const auto sends = all<SendAttempt>(replica.request(id));
+    const auto sends = only<SendAttempt>(replica.request(id));
     if (sends.empty()) continue;
     ++used[sends[0].endpoint];
-    replica.end(id, Outcome::kSuccess, 0, sends[0].endpoint == "s1" ? 0.4 : 0.1);
+    replica.end_attempt(id, Outcome::kSuccess, 0, sends[0].endpoint == "s1" ? 0.4 : 0.1);
   }
   EXPECT_GT(used["s0"], 80);
   EXPECT_LT(used["s1"], 50);
@@ -69,19 +69,19 @@
 
 // A silent server was judged only when its calls ended, for unsafe classes at the end of their time.
 TEST(OutlierDetection, UnresponsiveEndpointIsAvoidedBeforeItsAttemptsEnd) {
-  TestReplica replica(basic_settings(class_of(Idempotency::kNotIdempotent)));
-  replica.at(0, members(4));
+  TestReplica replica(basic_settings(make_request_class(Idempotency::kNotIdempotent)));
+  replica.handle(0, make_snapshot(4));
   int silent = 0;
   for (int i = 0; i < 160; ++i) {
     replica.now = i * 0.25;
     const std::string id = std::to_string(i);
-    const auto sends = all<SendAttempt>(replica.request(id));
+    const auto sends = only<SendAttempt>(replica.request(id));
     if (sends.empty()) continue;
     const bool is_silent = sends[0].endpoint == "s1" && i >= 80;
     if (is_silent) {
       ++silent;
     } else {
-      replica.end(id, Outcome::kSuccess, 0, 0.1);
+      replica.end_attempt(id, Outcome::kSuccess, 0, 0.1);
     }
   }
   EXPECT_LE(silent, 4);
@@ -90,42 +90,42 @@
 // Judging each server alone would leave nobody to send to when the cause is shared.
 TEST(OutlierDetection, RequestsAreSentWhenAllEndpointsFail) {
   TestReplica replica(roomy_settings());
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   int sent = 0;
   for (int i = 0; i < 200; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<SendAttempt>(replica.request(id));
+    auto sends = only<SendAttempt>(replica.request(id));
     sent += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt)
-      sends = all<SendAttempt>(replica.end(id, Outcome::kServerError, attempt));
+      sends = only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
   }
   EXPECT_EQ(sent, 200);
 }
 
 TEST(OutlierDetection, ViewCountsUnavailableEndpoints) {
   TestReplica replica(basic_settings());
-  EndpointUpdate list = members(5);
+  EndpointUpdate list = make_snapshot(5);
   list.endpoints[4].state = EndpointState::kDraining;
-  replica.at(0, list);
+  replica.handle(0, list);
   EXPECT_EQ(replica.balancer.endpoints(0).listed, 5U);
   EXPECT_EQ(replica.balancer.endpoints(0).unavailable, 1U) << "the one that drains";
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     replica.now += 0.02;
-    const std::vector<SendAttempt> sent = all<SendAttempt>(replica.request(id));
+    const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
     ASSERT_FALSE(sent.empty());
-    const std::vector<SendAttempt> again = all<SendAttempt>(
-        replica.end(id, sent[0].endpoint == "s2" ? Outcome::kServerError : Outcome::kSuccess));
-    if (!again.empty()) replica.end(id, Outcome::kSuccess, 1);
+    const std::vector<SendAttempt> again = only<SendAttempt>(
+        replica.end_attempt(id, sent[0].endpoint == "s2" ? Outcome::kServerError : Outcome::kSuccess));
+    if (!again.empty()) replica.end_attempt(id, Outcome::kSuccess, 1);
   }
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 2U) << "and the one that fails";
   EXPECT_EQ(replica.balancer.endpoints(replica.now + 60).unavailable, 1U) << "which is tried again some day";
   EndpointUpdate gone;
   gone.form = EndpointUpdate::Form::kIncremental;
-  gone.endpoints = {server(4)};
+  gone.endpoints = {make_endpoint(4)};
   gone.endpoints[0].state = EndpointState::kRemoved;
-  replica.at(replica.now, gone);
+  replica.handle(replica.now, gone);
   EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 4U);
 }
 }  // namespace
--- a/tests/balancer/random_walk_test.cpp
+++ b/tests/balancer/random_walk_test.cpp
@@ -15,7 +15,7 @@
  public:
   Walk(std::uint64_t seed, Idempotency effect, DedupScope scope, bool ask)
       : state_(seed), effect_(effect), scope_(scope) {
-    settings_ = basic_settings(class_of(effect, scope));
+    settings_ = basic_settings(make_request_class(effect, scope));
     settings_.classes[0].dedup_window = 0.8;
     settings_.classes[0].late_priority_weight = seed % 2 == 0 ? 0.3 : 0;
     settings_.replica_count = 1 + static_cast<int>(below(300));
@@ -76,7 +76,7 @@
   }
 
   void apply(const Event& event) {
-    for (const Action& action : copy_->at(now_, event)) {
+    for (const Action& action : copy_->handle(now_, event)) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) sent(*send);
       if (const auto* refuse = std::get_if<RejectRequest>(&action)) answered(refuse->id, true);
       if (const auto* fail = std::get_if<FailRequest>(&action)) answered(fail->id, false);
@@ -137,7 +137,7 @@
     Live& after = live_.at(r.id);
     EXPECT_TRUE(after.finished || !after.sent.empty()) << "a request neither sent nor answered";
     if (!after.finished && below(30) == 0) {
-      EXPECT_TRUE(copy_->at(now_, r).empty()) << "an id that comes twice";
+      EXPECT_TRUE(copy_->handle(now_, r).empty()) << "an id that comes twice";
     }
   }
 
@@ -157,7 +157,7 @@
     for (const Sent& each : after.sent) open = open || each.open;
     EXPECT_TRUE(after.finished || open) << "a request left without an answer or an attempt";
     if (below(20) == 0) {
-      EXPECT_TRUE(copy_->at(now_, result).empty()) << "an outcome that comes twice";
+      EXPECT_TRUE(copy_->handle(now_, result).empty()) << "an outcome that comes twice";
     }
   }
 
@@ -210,7 +210,7 @@
     const std::size_t count = draw == 0 || below(25) == 0 ? 0 : 1 + below(draw < 4 ? 14 : 3);
     for (std::size_t i = 0; i < count; ++i) {
       const int n = static_cast<int>(below(14));
-      Endpoint s = server(n, n % 2, n / 3);
+      Endpoint s = make_endpoint(n, n % 2, n / 3);
       s.weight = below(10) == 0 ? 0 : 0.5 + static_cast<double>(below(4));
       s.started_at = below(3) == 0 ? now_ - 0.1 : 0;
       const std::size_t state = below(10);
--- a/tests/balancer/rate_limit_feedback_test.cpp
+++ b/tests/balancer/rate_limit_feedback_test.cpp
@@ -21,9 +21,9 @@
   for (int i = 0; i < seconds * kRequestRate; ++i) {
     replica.now = ++sent_requests / static_cast<double>(kRequestRate);
     const std::string id = std::to_string(sent_requests);
-    if (all<SendAttempt>(replica.request(id)).empty()) continue;
+    if (only<SendAttempt>(replica.request(id)).empty()) continue;
     const bool fails = failure_interval > 0 && i % failure_interval == 0;
-    replica.end(id, fails ? outcome : Outcome::kSuccess);
+    replica.end_attempt(id, fails ? outcome : Outcome::kSuccess);
   }
 }
 
@@ -33,7 +33,7 @@
   settings.max_attempts = 1;
   settings.tenants = {{100.0}};
   TestReplica replica(settings);
-  replica.at(0, members(16));
+  replica.handle(0, make_snapshot(16));
   int sent_requests = 0;
   send_requests(replica, sent_requests, kRaisingTime, outcome, 0);
   const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
@@ -64,7 +64,7 @@
         scenario.servers_per_tier = 8;
         scenario.mean_service_time = 0.05;
         scenario.duration = 30;
-        scenario.settings = basic_settings(class_of(idempotency));
+        scenario.settings = basic_settings(make_request_class(idempotency));
         scenario.failure = [=](int tier, double, double chance) {
           return tier == failing_tier && chance < 0.5 ? std::optional(outcome) : std::nullopt;
         };
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -18,16 +18,16 @@
 
 TEST(RetryPolicy, RetriesAreBoundedByBudget) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(4));
+  replica.handle(0, make_snapshot(4));
   int firsts = 0;
   int others = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = all<SendAttempt>(replica.request(id));
+    auto sends = only<SendAttempt>(replica.request(id));
     firsts += static_cast<int>(sends.size());
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = all<SendAttempt>(replica.end(id, Outcome::kServerError, attempt));
+      sends = only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
       others += static_cast<int>(sends.size());
     }
   }
@@ -37,9 +37,9 @@
 
 TEST(RetryPolicy, RetryGoesToAnotherEndpoint) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(3));
-  const auto first = all<SendAttempt>(replica.request("r"));
-  const auto second = all<SendAttempt>(replica.end("r", Outcome::kConnectionReset));
+  replica.handle(0, make_snapshot(3));
+  const auto first = only<SendAttempt>(replica.request("r"));
+  const auto second = only<SendAttempt>(replica.end_attempt("r", Outcome::kConnectionReset));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(first[0].endpoint, second[0].endpoint);
 }
@@ -47,30 +47,30 @@
 TEST(RetryPolicy, RequestWithConsumedBodyIsNotRetried) {
   for (const bool gone : {false, true}) {
     TestReplica replica(basic_settings());
-    replica.at(0, members(4));
+    replica.handle(0, make_snapshot(4));
     replica.request("a");
-    if (gone) replica.at(0, RequestBodyConsumed{"a"});
-    const std::vector<Action> actions = replica.end("a", Outcome::kConnectFailed);
-    EXPECT_EQ(all<SendAttempt>(actions).empty(), gone);
-    EXPECT_EQ(all<RejectRequest>(actions).size(), gone ? 1U : 0U) << "no server has begun it";
+    if (gone) replica.handle(0, RequestBodyConsumed{"a"});
+    const std::vector<Action> actions = replica.end_attempt("a", Outcome::kConnectFailed);
+    EXPECT_EQ(only<SendAttempt>(actions).empty(), gone);
+    EXPECT_EQ(only<RejectRequest>(actions).size(), gone ? 1U : 0U) << "no server has begun it";
   }
 }
 
 TEST(RetryPolicy, AttemptTimeoutFollowsObservedLatency) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(4));
-  const double before = all<SendAttempt>(replica.request("first"))[0].timeout;
+  replica.handle(0, make_snapshot(4));
+  const double before = only<SendAttempt>(replica.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
     replica.now = i * 0.1;
     replica.request(std::to_string(i));
-    replica.end(std::to_string(i), Outcome::kSuccess, 0, 0.05);
+    replica.end_attempt(std::to_string(i), Outcome::kSuccess, 0, 0.05);
   }
-  const double after = all<SendAttempt>(replica.request("last"))[0].timeout;
+  const double after = only<SendAttempt>(replica.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
 std::size_t finals(const std::vector<Action>& actions) {
-  return all<RejectRequest>(actions).size() + all<FailRequest>(actions).size();
+  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
 }
 
 bool proves_unrun(Outcome o) {
@@ -83,7 +83,7 @@
 
 EndpointUpdate two_cells() {
   EndpointUpdate m;
-  for (int i = 0; i < 8; ++i) m.endpoints.push_back(server(i, i % 2, i / 2));
+  for (int i = 0; i < 8; ++i) m.endpoints.push_back(make_endpoint(i, i % 2, i / 2));
   return m;
 }
 
@@ -99,16 +99,16 @@
   for (const auto& [effect, scope] : kinds) {
     for (const Outcome first : kFailures) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        TestReplica replica(basic_settings(class_of(effect, scope)), seed);
-        replica.at(0, two_cells());
+        TestReplica replica(basic_settings(make_request_class(effect, scope)), seed);
+        replica.handle(0, two_cells());
         std::optional<Endpoint> may_have_run;
         std::string id = "r";
         auto actions = replica.request(id);
         for (int attempt = 0; attempt < 10; ++attempt) {
-          const auto sends = all<SendAttempt>(actions);
+          const auto sends = only<SendAttempt>(actions);
           if (sends.empty()) {
             EXPECT_EQ(finals(actions), 1U);
-            if (!all<RejectRequest>(actions).empty() && may_have_run && effect != Idempotency::kIdempotent) {
+            if (!only<RejectRequest>(actions).empty() && may_have_run && effect != Idempotency::kIdempotent) {
               EXPECT_TRUE(effect == Idempotency::kIdempotencyKey && scope == DedupScope::kAll);
             }
             break;
@@ -127,7 +127,7 @@
           const Outcome outcome = attempt == 0 ? first : Outcome::kConnectFailed;
           if (!may_have_run && !proves_unrun(outcome)) may_have_run = s;
           replica.now += 0.05;
-          actions = replica.end(id, outcome, attempt);
+          actions = replica.end_attempt(id, outcome, attempt);
           ASSERT_LT(attempt, 9);
         }
       }
@@ -136,13 +136,13 @@
 }
 
 TEST(RetryPolicy, NothingIsRetriedAfterDedupWindow) {
-  RequestClass c = class_of(Idempotency::kIdempotencyKey, DedupScope::kAll);
+  RequestClass c = make_request_class(Idempotency::kIdempotencyKey, DedupScope::kAll);
   c.dedup_window = 0.5;
   TestReplica replica(basic_settings(c));
-  replica.at(0, members(4));
-  ASSERT_EQ(all<SendAttempt>(replica.request("r")).size(), 1U);
+  replica.handle(0, make_snapshot(4));
+  ASSERT_EQ(only<SendAttempt>(replica.request("r")).size(), 1U);
   replica.now = 0.6;
-  EXPECT_TRUE(all<SendAttempt>(replica.end("r", Outcome::kServerError)).empty());
+  EXPECT_TRUE(only<SendAttempt>(replica.end_attempt("r", Outcome::kServerError)).empty());
 }
 
 }  // namespace
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -51,13 +51,13 @@
 
 TEST(Settings, OutOfRangeIndexesInEventsAreTolerated) {
   TestReplica replica(basic_settings());
-  replica.at(0, members(2));
-  EXPECT_EQ(all<SendAttempt>(replica.request("a", 77, 88)).size(), 1U);
-  EXPECT_TRUE(replica.end("a", Outcome::kSuccess, 9).empty());
-  EXPECT_TRUE(replica.end("a", Outcome::kSuccess, -1).empty());
-  EXPECT_TRUE(replica.end("never", Outcome::kSuccess).empty());
-  EXPECT_TRUE(replica.at(0, TimerFired{12345}).empty());
-  EXPECT_TRUE(replica.at(0, RequestAborted{"never"}).empty());
+  replica.handle(0, make_snapshot(2));
+  EXPECT_EQ(only<SendAttempt>(replica.request("a", 77, 88)).size(), 1U);
+  EXPECT_TRUE(replica.end_attempt("a", Outcome::kSuccess, 9).empty());
+  EXPECT_TRUE(replica.end_attempt("a", Outcome::kSuccess, -1).empty());
+  EXPECT_TRUE(replica.end_attempt("never", Outcome::kSuccess).empty());
+  EXPECT_TRUE(replica.handle(0, TimerFired{12345}).empty());
+  EXPECT_TRUE(replica.handle(0, RequestAborted{"never"}).empty());
   EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
 }
 }  // namespace
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -24,25 +24,25 @@
   for (int c = 0; c < kReplicas; ++c) {
     s.replica_index = c;
     TestReplica replica(s, static_cast<std::uint64_t>(c) + 1);
-    replica.at(100, members(kServers));
+    replica.handle(100, make_snapshot(kServers));
     for (int i = 0; i < static_cast<int>(40 * kRate); ++i) {
       const double now = 100 + i / kRate;
       if (i == static_cast<int>(10 * kRate)) {
         EndpointUpdate restart;
         restart.form = EndpointUpdate::Form::kIncremental;
-        restart.endpoints = {server(0)};
+        restart.endpoints = {make_endpoint(0)};
         restart.endpoints[0].started_at = 109;
-        replica.at(now, restart);
+        replica.handle(now, restart);
       }
       replica.now = now;
       const std::string id = std::to_string(i);
       double took = 0.1;
-      for (const SendAttempt& send : all<SendAttempt>(replica.request(id))) {
+      for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
         if (send.endpoint != "s0" || now < 110) continue;
         sends.push_back(now);
         took *= times_as_long;
       }
-      replica.end(id, Outcome::kSuccess, 0, took);
+      replica.end_attempt(id, Outcome::kSuccess, 0, took);
     }
   }
   return sends;
@@ -86,15 +86,15 @@
   s.slow_start_duration = 10;
   s.tenants = {{100.0}};
   TestReplica replica(s);
-  EndpointUpdate m = members(4);
+  EndpointUpdate m = make_snapshot(4);
   for (Endpoint& one : m.endpoints) one.started_at = 99.5;
-  replica.at(100, m);
+  replica.handle(100, m);
   int sent = 0;
   for (int i = 0; i < 500; ++i) {
     replica.now = 100 + i * 0.01;
     const std::string id = std::to_string(i);
-    sent += static_cast<int>(all<SendAttempt>(replica.request(id)).size());
-    replica.end(id, Outcome::kSuccess);
+    sent += static_cast<int>(only<SendAttempt>(replica.request(id)).size());
+    replica.end_attempt(id, Outcome::kSuccess);
   }
   EXPECT_GT(sent, 50);
   EXPECT_LT(sent, 400);
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -18,16 +18,16 @@
     s.cross_zone_cost = 0.01;
     TestReplica replica(s);
     EndpointUpdate m;
-    for (int i = 0; i < 12; ++i) m.endpoints.push_back(server(i, i % 2));
-    replica.at(0, m);
+    for (int i = 0; i < 12; ++i) m.endpoints.push_back(make_endpoint(i, i % 2));
+    replica.handle(0, m);
     int far = 0;
     for (int i = 0; i < 600; ++i) {
       replica.now = i * 0.5;
       const std::string id = std::to_string(i);
-      for (const SendAttempt& send : all<SendAttempt>(replica.request(id))) {
+      for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
         const bool crossed = (send.endpoint.back() - '0') % 2 == 1;
         far += crossed ? 1 : 0;
-        replica.end(id, Outcome::kSuccess, 0, crossed ? 0.12 : near_answer);
+        replica.end_attempt(id, Outcome::kSuccess, 0, crossed ? 0.12 : near_answer);
       }
     }
     return far / 600.0;
@@ -43,15 +43,15 @@
     s.cross_zone_cost = 0.01;
     TestReplica replica(s);
     EndpointUpdate m;
-    for (int i = 0; i < 9; ++i) m.endpoints.push_back(server(i, i < local ? 0 : 1));
-    replica.at(0, m);
+    for (int i = 0; i < 9; ++i) m.endpoints.push_back(make_endpoint(i, i < local ? 0 : 1));
+    replica.handle(0, m);
     int near = 0;
     for (int i = 0; i < 600; ++i) {
       replica.now = i * 0.5;
       const std::string id = std::to_string(i);
-      for (const SendAttempt& send : all<SendAttempt>(replica.request(id))) {
+      for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
         near += send.endpoint.back() - '0' < local ? 1 : 0;
-        replica.end(id, Outcome::kSuccess, 0, 0.1);
+        replica.end_attempt(id, Outcome::kSuccess, 0, 0.1);
       }
     }
     return near / 600.0;
@@ -88,14 +88,14 @@
       s.replica_count = replicas;
       const auto used = [&](bool without_one) {
         TestReplica replica(s);
-        EndpointUpdate m = members(24);
+        EndpointUpdate m = make_snapshot(24);
         if (without_one) m.endpoints.erase(m.endpoints.begin() + 5);
-        replica.at(0, m);
+        replica.handle(0, m);
         std::set<std::string> out;
         for (int i = 0; i < 400; ++i) {
           const std::string id = std::to_string(i);
-          for (const SendAttempt& send : all<SendAttempt>(replica.request(id))) out.insert(send.endpoint);
-          replica.end(id, Outcome::kSuccess);
+          for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) out.insert(send.endpoint);
+          replica.end_attempt(id, Outcome::kSuccess);
         }
         return out;
       };
@@ -117,9 +117,9 @@
     s.replica_index = index;
     s.replica_count = 2;
     TestReplica replica(s);
-    replica.at(0, members(40));
+    replica.handle(0, make_snapshot(40));
     for (int i = 0; i < 200; ++i) {
-      for (const SendAttempt& send : all<SendAttempt>(replica.request(std::to_string(i))))
+      for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
         used.insert(send.endpoint);
     }
   }
--- a/tests/node_unit/poll_budget_test.cpp
+++ b/tests/node_unit/poll_budget_test.cpp
@@ -84,11 +84,12 @@
   double longest = 0, shortest = 1000;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     asterdrift::balancer::TestReplica replica(s, seed);
-    replica.at(0, asterdrift::balancer::Started{});
+    replica.handle(0, asterdrift::balancer::Started{});
     asterdrift::balancer::EndpointUpdate failed;
     failed.form = asterdrift::balancer::EndpointUpdate::Form::kWatchFailed;
     for (double now = 0; now < 20;) {
-      const auto timers = asterdrift::balancer::all<asterdrift::balancer::SetTimer>(replica.at(now, failed));
+      const auto timers =
+          asterdrift::balancer::only<asterdrift::balancer::SetTimer>(replica.handle(now, failed));
       EXPECT_EQ(timers.size(), 1U);
       longest = std::max(longest, timers.at(0).at - now);
       shortest = std::min(shortest, timers.at(0).at - now);
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -1,8 +1,9 @@
-// What the tests share: a balancer that remembers its clock and hands back the actions of each event.
+// Settings, endpoints and a replica for tests of the decision module.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <string>
-#include <utility>
 #include <variant>
 #include <vector>
 
@@ -10,71 +11,52 @@
 
 namespace asterdrift::balancer {
 
-inline RequestClass class_of(Idempotency effect, DedupScope scope = DedupScope::kCell) {
-  RequestClass c;
-  c.latency_objective = 2;
-  c.timeout = 6;
-  c.idempotency = effect;
-  c.dedup_scope = scope;
-  c.dedup_window = 4;
-  return c;
-}
+// With a latency objective of 2 s, a timeout of 6 s and a deduplication window of 4 s.
+RequestClass make_request_class(Idempotency idempotency, DedupScope scope = DedupScope::kCell);
 
-inline Settings basic_settings(RequestClass c = class_of(Idempotency::kIdempotent)) {
-  Settings s;
-  s.classes = {c};
-  s.max_attempts = 4;
-  s.cancel_allowed = true;
-  s.max_retry_after = 2;
-  return s;
-}
+// One class, no tenants, four attempts for a request.
+Settings basic_settings(const RequestClass& request_class = make_request_class(Idempotency::kIdempotent));
 
-inline Endpoint server(int n, int zone = 0, int cell = 0) {
-  Endpoint s;
-  s.address = "s" + std::to_string(n);
-  s.zone = zone;
-  s.cell = cell;
-  return s;
-}
+// The same with a tenant whose quota no test exhausts: its rate limit denies nothing.
+Settings settings_with_large_quota();
 
-inline EndpointUpdate members(int count) {
-  EndpointUpdate m;
-  for (int i = 0; i < count; ++i) m.endpoints.push_back(server(i));
-  return m;
-}
+// A ready endpoint with the address "s" and its number.
+Endpoint make_endpoint(int number, int zone = 0, int cell = 0);
+
+// A snapshot of the endpoints 0 to count - 1.
+EndpointUpdate make_snapshot(int count);
+
+// An incremental update of one endpoint.
+EndpointUpdate make_update(const Endpoint& endpoint, EndpointState state = EndpointState::kReady);
 
-struct TestReplica {
+// A failed poll or a broken watch.
+EndpointUpdate failed_watch();
+
+// A balancer with its clock; each event returns the actions that it causes.
+class TestReplica {
+ public:
   explicit TestReplica(const Settings& settings, std::uint64_t seed = 1) : balancer(settings, seed) {}
 
-  std::vector<Action> at(double time, const Event& event) {
-    now = time;
-    std::vector<Action> out;
-    balancer.handle(now, event, out);
-    return out;
-  }
-  std::vector<Action> request(const std::string& id, std::size_t tenant = 0, std::size_t request_class = 0) {
-    Request r;
-    r.id = id;
-    r.tenant = tenant;
-    r.request_class = request_class;
-    r.time_left = 6;
-    return at(now, r);
-  }
-  std::vector<Action> end(const std::string& id, Outcome outcome, int attempt = 0, double elapsed = 0.1) {
-    return at(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSuccess});
-  }
+  // Advances the clock to `time`.
+  std::vector<Action> handle(double time, const Event& event);
+
+  // The rest happens at the present time. A request has 6 s left.
+  std::vector<Action> request(const std::string& id, std::size_t tenant = 0, std::size_t request_class = 0);
+  std::vector<Action> end_attempt(const std::string& id, Outcome outcome, int attempt = 0,
+                                  double elapsed = 0.1);
 
   Balancer balancer;
   double now = 0;
 };
 
-template <typename T>
-std::vector<T> all(const std::vector<Action>& actions) {
-  std::vector<T> out;
-  for (const Action& a : actions) {
-    if (const T* t = std::get_if<T>(&a)) out.push_back(*t);
+// The actions of one type.
+template <typename ActionType>
+std::vector<ActionType> only(const std::vector<Action>& actions) {
+  std::vector<ActionType> selected;
+  for (const Action& action : actions) {
+    if (const auto* typed = std::get_if<ActionType>(&action)) selected.push_back(*typed);
   }
-  return out;
+  return selected;
 }
 
 }  // namespace asterdrift::balancer
--- a/tests/support/random_endpoint_updates.h
+++ b/tests/support/random_endpoint_updates.h
@@ -13,7 +13,7 @@
 namespace asterdrift::balancer {
 
 inline Endpoint numbered(int n) {
-  Endpoint s = server(n, n % 3, n % 500);
+  Endpoint s = make_endpoint(n, n % 3, n % 500);
   s.address += ".fleet.internal:8080";
   return s;
 }
@@ -29,7 +29,8 @@
   return {EndpointUpdate::Form::kIncremental, {s}};
 }
 
-inline Settings many_replicas(RequestClass c = class_of(Idempotency::kIdempotent), int replicas = 2000) {
+inline Settings many_replicas(RequestClass c = make_request_class(Idempotency::kIdempotent),
+                              int replicas = 2000) {
   Settings s = basic_settings(c);
   s.replica_count = replicas;
   s.tier = 1;
@@ -74,8 +75,8 @@
     const std::size_t count = kind == 0 ? 400 : kind < 3 ? 90 : 1 + random_.below(4);
     for (std::size_t i = 0; i < count; ++i) {
       static const int kAlike[] = {59298, 69998};
-      Endpoint s =
-          server(random_.below(50) == 0 ? kAlike[random_.below(2)] : static_cast<int>(random_.below(900)));
+      Endpoint s = make_endpoint(random_.below(50) == 0 ? kAlike[random_.below(2)]
+                                                        : static_cast<int>(random_.below(900)));
       s.zone = static_cast<int>(random_.below(3));
       s.cell = static_cast<int>(random_.below(12)) - 1;
       s.weight = random_.below(3) == 0 ? 0 : 0.5 + random_.unit();
--- a/tests/support/random_event_stream.cpp
+++ b/tests/support/random_event_stream.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t kUpdateOfMany = 40;    // endpoints
 
 Settings settings_of(std::uint64_t seed) {
-  Settings settings = basic_settings(class_of(Idempotency::kIdempotencyKey, DedupScope::kCell));
-  settings.classes.push_back(class_of(Idempotency::kIdempotent));
-  settings.classes.push_back(class_of(Idempotency::kIdempotencyKey, DedupScope::kZone));
-  settings.classes.push_back(class_of(Idempotency::kIdempotencyKey, DedupScope::kAll));
-  settings.classes.push_back(class_of(Idempotency::kNotIdempotent));
+  Settings settings = basic_settings(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kCell));
+  settings.classes.push_back(make_request_class(Idempotency::kIdempotent));
+  settings.classes.push_back(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kZone));
+  settings.classes.push_back(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kAll));
+  settings.classes.push_back(make_request_class(Idempotency::kNotIdempotent));
   settings.replica_count = std::vector{1, 3, 8, 40, 300}[seed % 5];
   settings.replica_index = static_cast<int>(seed * 7 % static_cast<std::uint64_t>(settings.replica_count));
   settings.tier = seed % 3 == 2 ? 1 : 0;
@@ -158,7 +158,7 @@
 }
 
 void RandomEventStream::handle(const Event& event) {
-  for (const Action& action : replica_.at(now_, event)) {
+  for (const Action& action : replica_.handle(now_, event)) {
     digest_.add(action.index());
     std::visit([this](const auto& typed) { record(typed); }, action);
   }
--- a/tests/support/simulated_call_chain.cpp
+++ b/tests/support/simulated_call_chain.cpp
@@ -23,7 +23,7 @@
 }
 
 void SimulatedCallChain::add_tier(int tier) {
-  const EndpointUpdate list = members(scenario_.servers_per_tier);
+  const EndpointUpdate list = make_snapshot(scenario_.servers_per_tier);
   Settings settings = scenario_.settings;
   settings.tier = tier;
   settings.replica_count = tier == 0 ? 1 : scenario_.servers_per_tier;
--- a/tests/support/simulated_fleet/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet/simulated_fleet.cpp
@@ -28,11 +28,11 @@
 constexpr double kReplicaChangeDuration = 3;       // s
 
 std::vector<RequestClass> request_classes() {
-  RequestClass keyed = class_of(Idempotency::kIdempotencyKey);
+  RequestClass keyed = make_request_class(Idempotency::kIdempotencyKey);
   keyed.latency_objective = 0.86;
   keyed.timeout = 2.2;
   keyed.dedup_window = 2.5;
-  RequestClass non_idempotent = class_of(Idempotency::kNotIdempotent);
+  RequestClass non_idempotent = make_request_class(Idempotency::kNotIdempotent);
   non_idempotent.latency_objective = 1.9;
   non_idempotent.timeout = 4.7;
   return {keyed, non_idempotent};
@@ -72,7 +72,7 @@
 void SimulatedFleet::add_servers() {
   for (int i = 0; i < scenario_.servers; ++i) {
     const int slots = i % 2 == 0 ? 2 : 1;
-    Endpoint endpoint = server(i, i % 2, i / kServersPerCell);
+    Endpoint endpoint = make_endpoint(i, i % 2, i / kServersPerCell);
     endpoint.weight = slots;
     const double relative_rate = kMinRelativeRate + kRelativeRateSpread * random_.unit();
     const double rate = scenario_.rate_per_weight * endpoint.weight * relative_rate;
