--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -1,10 +1,14 @@
-// Many servers: what one change and one call cost, in counts, and that the right servers are found.
+// Large fleets: what one update and one request cost, in counts, and that the right endpoints are found.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cstdlib>
 #include <map>
 #include <new>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "balancer/endpoint_set.h"
 #include "balancer/subset.h"
@@ -12,214 +16,254 @@
 #include "support/random_event_stream.h"
 
 namespace {
-std::size_t allocated = 0;  // bytes asked for by anything in this program
+std::size_t allocated_bytes = 0;  // by anything in this program, since its start
 }
 
 // Not inlined: GCC takes their parts for mismatched ones.
 [[gnu::noinline]] void* operator new(std::size_t bytes) {
-  allocated += bytes;
-  if (void* at = std::malloc(bytes)) return at;
+  allocated_bytes += bytes;
+  if (void* memory = std::malloc(bytes)) return memory;
   throw std::bad_alloc();
 }
 [[gnu::noinline]] void* operator new(std::size_t bytes, const std::nothrow_t&) noexcept {
-  allocated += bytes;
+  allocated_bytes += bytes;
   return std::malloc(bytes);
 }
-[[gnu::noinline]] void operator delete(void* at) noexcept { std::free(at); }
-[[gnu::noinline]] void operator delete(void* at, std::size_t) noexcept { std::free(at); }
+[[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
 
 namespace asterdrift::balancer {
 namespace {
 
-constexpr std::size_t kMostInOneCall = 600;    // servers looked at: 7 x kMostExamined, and to book the call
-constexpr std::size_t kMostInOneChange = 250;  // in five rankings, and to look at a small subset
+constexpr std::size_t kMaxExaminedByRequest = 600;  // endpoints: 7 x kMostExamined, and to count the request
+constexpr std::size_t kMaxExaminedByUpdate = 250;   // endpoints: in five indexes, and of a small subset
+constexpr std::size_t kMaxBytesOfUpdate = 20000;
 
-std::uint64_t examined(const TestReplica& replica) {
+std::uint64_t examined_endpoints(const TestReplica& replica) {
   return replica.balancer.endpoints(replica.now).examined;
 }
 
-// The digests are those of a balancer that examines every endpoint: it had no indexes yet. They cover the log
-// lines too; with the wording of that time the digests are the ones recorded then.
+// The digests are those of a balancer that examines every endpoint. They cover the log lines too.
 TEST(EndpointScale, DecisionsMatchExhaustiveSearchInSmallFleets) {
-  const std::map<std::size_t, std::uint64_t> before = {
+  const std::map<std::size_t, std::uint64_t> expected_digests = {
       {7, 0xd521f1c56395b2adU}, {20, 0xdb595e1d83a5a9d5U}, {64, 0x74fd6b5fbbef9f5fU}};
-  for (const auto& [servers, digest] : before) {
-    std::uint64_t all = 0;
+  for (const auto& [endpoints, expected_digest] : expected_digests) {
+    std::uint64_t digest = 0;
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
-      RandomEventStream stream(seed, servers);
+      RandomEventStream stream(seed, endpoints);
       stream.run(4000);
       EXPECT_GT(stream.retries(), 0U);
-      all = all * 31 + stream.digest();
+      digest = digest * 31 + stream.digest();
     }
-    EXPECT_EQ(all, digest) << servers << " servers: " << std::hex << all;
+    EXPECT_EQ(digest, expected_digest) << endpoints << " endpoints: " << std::hex << digest;
   }
 }
 
 TEST(EndpointScale, UpdateCostIsIndependentOfFleetSize) {
   for (const int replicas : {2000, 4}) {
-    for (const int servers : {700, 7000, 27000}) {
-      TestReplica replica(many_replicas(make_request_class(Idempotency::kIdempotent), replicas));
-      replica.handle(0, fleet(servers));
+    for (const int endpoints : {700, 7000, 27000}) {
+      TestReplica replica(settings_of_many_replicas(make_request_class(Idempotency::kIdempotent), replicas));
+      replica.handle(0, make_fleet_snapshot(endpoints));
       for (int i = 0; i < 600; ++i) {
-        const std::size_t bytes = allocated;
-        const std::uint64_t before = examined(replica);
-        replica.handle(1 + i, change(numbered(i / 2 * 7919 % servers),
-                                     i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady));
-        ASSERT_LE(examined(replica) - before, kMostInOneChange) << servers << " servers, change " << i;
-        ASSERT_LE(allocated - bytes, 20000U) << servers << " servers, change " << i;
+        const EndpointState state = i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady;
+        const std::size_t bytes_before = allocated_bytes;
+        const std::uint64_t examined_before = examined_endpoints(replica);
+        replica.handle(1 + i, make_update(make_fleet_endpoint(i / 2 * 7919 % endpoints), state));
+        ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByUpdate)
+            << endpoints << " endpoints, update " << i;
+        ASSERT_LE(allocated_bytes - bytes_before, kMaxBytesOfUpdate)
+            << endpoints << " endpoints, update " << i;
       }
     }
   }
 }
 
+// Of endpoints that have all just started, and hardly serve for a long time.
+TestReplica replica_with_starting_fleet(int replicas, int endpoints) {
+  Settings settings = settings_of_many_replicas(
+      make_request_class(Idempotency::kIdempotencyKey, DedupScope::kZone), replicas);
+  settings.tier = replicas == 4 ? 1 : 0;
+  settings.slow_start_capacity = 0.01;
+  settings.slow_start_duration = 1e6;
+  TestReplica replica(settings);
+  EndpointUpdate snapshot = make_fleet_snapshot(endpoints);
+  for (Endpoint& endpoint : snapshot.endpoints) endpoint.started_at = 1;
+  replica.handle(1, snapshot);
+  return replica;
+}
+
+void expect_bounded_search(TestReplica& replica, const std::string& id) {
+  std::uint64_t examined_before = examined_endpoints(replica);
+  std::vector<Action> actions = replica.request(id);
+  ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByRequest);
+  for (int attempt = 0; !only<SendAttempt>(actions).empty(); ++attempt) {
+    replica.now += 0.001;
+    examined_before = examined_endpoints(replica);
+    actions = replica.end_attempt(id, Outcome::kConnectionReset, attempt);
+    ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByRequest);
+  }
+}
+
 TEST(EndpointScale, RequestExaminesBoundedNumberOfEndpointsAlsoWhenNoneIsHealthy) {
   for (const int replicas : {2000, 4}) {
-    for (const int servers : {700, 7000, 27000}) {
-      Settings s =
-          many_replicas(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kZone), replicas);
-      s.tier = replicas == 4 ? 1 : 0;
-      s.slow_start_capacity = 0.01;
-      s.slow_start_duration = 1e6;
-      TestReplica replica(s);
-      EndpointUpdate cold = fleet(servers);
-      for (Endpoint& told : cold.endpoints) told.started_at = 1;
-      replica.handle(1, cold);
+    for (const int endpoints : {700, 7000, 27000}) {
+      TestReplica replica = replica_with_starting_fleet(replicas, endpoints);
       for (int i = 0; i < 500; ++i) {
         replica.now += 0.01;
-        const std::string id = std::to_string(i);
-        std::uint64_t before = examined(replica);
-        std::vector<Action> actions = replica.request(id);
-        ASSERT_LE(examined(replica) - before, kMostInOneCall);
-        for (int attempt = 0; !only<SendAttempt>(actions).empty(); ++attempt) {
-          replica.now += 0.001;
-          before = examined(replica);
-          actions = replica.end_attempt(id, Outcome::kConnectionReset, attempt);
-          ASSERT_LE(examined(replica) - before, kMostInOneCall);
-        }
+        expect_bounded_search(replica, std::to_string(i));
+        if (HasFatalFailure()) return;
       }
     }
   }
 }
 
 TEST(EndpointScale, ViewCostIsIndependentOfFleetSize) {
-  TestReplica replica(many_replicas());
-  replica.handle(0, fleet(27000));
+  TestReplica replica(settings_of_many_replicas());
+  replica.handle(0, make_fleet_snapshot(27000));
   for (int i = 0; i < 400; ++i) {
     replica.now += 0.01;
     replica.request(std::to_string(i));
     replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
-  const std::uint64_t before = examined(replica);
+  const std::uint64_t examined_before = examined_endpoints(replica);
   EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 27000U);
-  EXPECT_LE(examined(replica) - before, 60U);  // twice the 27 of its subset
+  EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the 27 of its subset
 }
 
-// The servers that calls of a replica go to while all is well.
-std::set<std::string> used_by(TestReplica& replica, int calls = 200) {
-  std::set<std::string> out;
-  for (int i = 0; i < calls; ++i) {
+// The endpoints to which requests of a replica go while all are healthy.
+std::set<std::string> used_endpoints(TestReplica& replica, int requests = 200) {
+  std::set<std::string> used;
+  for (int i = 0; i < requests; ++i) {
     replica.now += 0.01;
-    const std::string id = "well" + std::to_string(i);
-    for (const SendAttempt& s : only<SendAttempt>(replica.request(id))) out.insert(s.endpoint);
+    const std::string id = "healthy" + std::to_string(i);
+    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) used.insert(send.endpoint);
+    replica.end_attempt(id, Outcome::kSuccess);
+  }
+  return used;
+}
+
+enum class SubsetFault { kFailing, kUnresponsive, kDraining };
+const char* const kSubsetFaultNames[] = {"failing", "unresponsive", "draining"};
+
+void drain(TestReplica& replica, const std::set<std::string>& subset) {
+  for (int i = 0; i < 7000; ++i) {
+    const Endpoint endpoint = make_fleet_endpoint(i);
+    if (subset.contains(endpoint.address))
+      replica.handle(replica.now, make_update(endpoint, EndpointState::kDraining));
+  }
+}
+
+// Ends the first attempt of a request, and its retry.
+void end_request(TestReplica& replica, const std::string& id, bool at_faulty_endpoint, SubsetFault fault) {
+  if (!at_faulty_endpoint) {
     replica.end_attempt(id, Outcome::kSuccess);
+    return;
   }
-  return out;
+  if (fault == SubsetFault::kUnresponsive) return;
+  const bool retried = !only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError)).empty();
+  replica.end_attempt(id, Outcome::kSuccess, retried ? 1 : 0);
 }
 
 TEST(EndpointScale, OtherEndpointsServeWhenSubsetIsFailingUnresponsiveOrDraining) {
-  for (const char* what : {"ill", "silent", "draining"}) {
-    TestReplica replica(many_replicas());
-    replica.handle(0, fleet(7000));
-    const std::set<std::string> subset = used_by(replica);
+  for (const SubsetFault fault :
+       {SubsetFault::kFailing, SubsetFault::kUnresponsive, SubsetFault::kDraining}) {
+    const std::string name = kSubsetFaultNames[static_cast<int>(fault)];
+    TestReplica replica(settings_of_many_replicas());
+    replica.handle(0, make_fleet_snapshot(7000));
+    const std::set<std::string> subset = used_endpoints(replica);
     ASSERT_EQ(subset.size(), 8U);
-    if (what == std::string("draining")) {
-      for (int i = 0; i < 7000; ++i) {
-        if (subset.contains(numbered(i).address)) {
-          replica.handle(replica.now, change(numbered(i), EndpointState::kDraining));
-        }
-      }
-    }
-    int bad = 0, well = 0;
+    if (fault == SubsetFault::kDraining) drain(replica, subset);
+    int at_faulty = 0;
+    int at_healthy = 0;
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.01;
-      const std::string id = what + std::to_string(i);
+      const std::string id = name + std::to_string(i);
       const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
-      ASSERT_EQ(sent.size(), 1U) << what;
+      ASSERT_EQ(sent.size(), 1U) << name;
       const bool in_subset = subset.contains(sent[0].endpoint);
-      (in_subset ? bad : well) += 1;
-      if (what == std::string("silent") && in_subset) continue;
-      if (in_subset && !only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError)).empty()) {
-        replica.end_attempt(id, Outcome::kSuccess, 1);
-      } else {
-        replica.end_attempt(id, Outcome::kSuccess);
-      }
+      ++(in_subset ? at_faulty : at_healthy);
+      end_request(replica, id, in_subset, fault);
     }
-    EXPECT_LE(bad, what == std::string("draining") ? 0 : 60) << what;
-    EXPECT_GE(well, 340) << what;
+    EXPECT_LE(at_faulty, fault == SubsetFault::kDraining ? 0 : 60) << name;
+    EXPECT_GE(at_healthy, 340) << name;
   }
 }
 
-// Looks at random would miss the only server that may get the repeat.
+// A fleet in which one endpoint of replica 0's subset (the first eight in the order of the hashes) shares its
+// cell and zone with one other endpoint, far from it in that order.
+struct FleetWithPair {
+  EndpointUpdate snapshot = make_fleet_snapshot(7000);
+  std::string in_subset, other;  // addresses
+
+  FleetWithPair() {
+    std::vector<std::pair<std::uint64_t, std::size_t>> by_hash;
+    for (std::size_t i = 0; i < snapshot.endpoints.size(); ++i) {
+      by_hash.emplace_back(support::hash_text(snapshot.endpoints[i].address), i);
+    }
+    std::sort(by_hash.begin(), by_hash.end());
+    in_subset = move_to_cell_of_pair(by_hash[0].second);
+    other = move_to_cell_of_pair(by_hash[3500].second);
+  }
+
+ private:
+  std::string move_to_cell_of_pair(std::size_t index) {
+    Endpoint& endpoint = snapshot.endpoints[index];
+    endpoint.cell = endpoint.zone = 9999;
+    return endpoint.address;
+  }
+};
+
+// Random samples would miss the only endpoint that may get the retry.
 TEST(EndpointScale, KeyedRetryFindsOnlyOtherEndpointOfItsCellOrZone) {
   for (const DedupScope scope : {DedupScope::kCell, DedupScope::kZone}) {
-    EndpointUpdate m = fleet(7000);
-    std::vector<std::pair<std::uint64_t, std::size_t>> order;
-    for (std::size_t i = 0; i < m.endpoints.size(); ++i) {
-      order.emplace_back(support::hash_text(m.endpoints[i].address), i);
-    }
-    std::sort(order.begin(), order.end());
-    // TestReplica 0 uses the first eight; one of them shares its cell and zone with one other, half the ring
-    // away.
-    Endpoint& first = m.endpoints[order[0].second];
-    Endpoint& other = m.endpoints[order[3500].second];
-    first.cell = other.cell = first.zone = other.zone = 9999;
-    TestReplica replica(many_replicas(make_request_class(Idempotency::kIdempotencyKey, scope)));
-    replica.handle(0, m);
-    int repeats = 0;
+    const FleetWithPair fleet;
+    TestReplica replica(settings_of_many_replicas(make_request_class(Idempotency::kIdempotencyKey, scope)));
+    replica.handle(0, fleet.snapshot);
+    int retries = 0;
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.5;
       const std::string id = std::to_string(i);
       const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U);
-      if (sent[0].endpoint != first.address) {
+      if (sent[0].endpoint != fleet.in_subset) {
         replica.end_attempt(id, Outcome::kSuccess);
         continue;
       }
-      const std::vector<SendAttempt> again =
-          only<SendAttempt>(replica.end_attempt(id, Outcome::kConnectionReset));
-      if (again.empty()) continue;  // no attempt left over
-      EXPECT_EQ(again[0].endpoint, other.address);
+      const auto retry = only<SendAttempt>(replica.end_attempt(id, Outcome::kConnectionReset));
+      if (retry.empty()) continue;  // the retry budget is used up
+      EXPECT_EQ(retry[0].endpoint, fleet.other);
       replica.end_attempt(id, Outcome::kSuccess, 1);
-      ++repeats;
+      ++retries;
     }
-    EXPECT_GE(repeats, 10);
+    EXPECT_GE(retries, 10);
   }
 }
 
-// One of many can be used: each call looks at some, and the next ones at those that follow.
+// One endpoint of many can be used: each request examines some, and the next one those that follow.
 TEST(EndpointScale, OnlyWarmEndpointIsFoundByLaterRequests) {
-  Settings s = many_replicas();
-  s.slow_start_capacity = 0.001;
-  s.slow_start_duration = 1e9;
-  TestReplica replica(s);
-  EndpointUpdate m = fleet(7000);
-  for (std::size_t i = 1; i < m.endpoints.size(); ++i) m.endpoints[i].started_at = 1;
-  replica.handle(1, m);
-  int calls = 0, served = 0;
+  Settings settings = settings_of_many_replicas();
+  settings.slow_start_capacity = 0.001;
+  settings.slow_start_duration = 1e9;
+  TestReplica replica(settings);
+  EndpointUpdate snapshot = make_fleet_snapshot(7000);
+  for (std::size_t i = 1; i < snapshot.endpoints.size(); ++i) snapshot.endpoints[i].started_at = 1;
+  replica.handle(1, snapshot);
+  int searches = 0;
+  int served = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now += 0.01;
     const std::string id = std::to_string(i);
-    const std::uint64_t before = examined(replica);
+    const std::uint64_t examined_before = examined_endpoints(replica);
     const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
-    if (examined(replica) - before >= 4 * kMostExamined)
-      ++calls;  // others are turned away before a server is sought
+    // Others are rejected before an endpoint is searched for.
+    if (examined_endpoints(replica) - examined_before >= 4 * kMostExamined) ++searches;
     if (sent.empty()) continue;
     replica.end_attempt(id, Outcome::kSuccess);
-    EXPECT_EQ(sent[0].endpoint, m.endpoints[0].address);
+    EXPECT_EQ(sent[0].endpoint, snapshot.endpoints[0].address);
     ++served;
   }
-  EXPECT_GE(calls, 100);
-  EXPECT_GE(served, calls / (7000 / 256 + 2));
+  EXPECT_GE(searches, 100);
+  EXPECT_GE(served, searches / (7000 / 256 + 2));
 }
 
 }  // namespace
