--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -1,95 +1,40 @@
-// Concurrency limit: how many requests are in flight.
+// The concurrency limit: how many requests a replica has in flight.
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <cmath>
 #include <map>
+#include <string>
+#include <vector>
 
 #include "support/balancer_fixture.h"
+#include "support/linear_congruential_random.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-// An quota that no test here reaches: admission stays out of the way.
-Settings roomy_settings() {
-  Settings s = basic_settings();
-  s.tenants = {{1000.0}};
-  return s;
-}
-
-// What each of many replicas takes for a small start is a crowd when all of them start together.
-// A call whose body is still coming, and the server it went to; empty where it was refused.
-std::string arriving(TestReplica& replica, const std::string& id) {
-  Request r;
-  r.id = id;
-  r.time_left = 6;
-  r.body_arriving = true;
-  const std::vector<SendAttempt> sent = only<SendAttempt>(replica.handle(replica.now, r));
+// Sends a request whose body is still arriving. Returns its endpoint; empty where it was rejected.
+std::string request_with_arriving_body(TestReplica& replica, const std::string& id) {
+  Request request;
+  request.id = id;
+  request.time_left = 6;
+  request.body_arriving = true;
+  const std::vector<SendAttempt> sent = only<SendAttempt>(replica.handle(replica.now, request));
   return sent.empty() ? "" : sent[0].endpoint;
 }
 
-// A replica of many, with its part of the fleet's calls. They come at uneven times, answered late or never.
-struct FleetDay {
-  int sent = 0;
-  int refused = 0;
-};
-
-FleetDay fleet_day(int replicas, int servers, double rate, double answer_time, double seconds) {
-  Settings s = basic_settings();
-  s.replica_count = replicas;
-  s.tenants = {{rate * replicas}};
-  TestReplica replica(s);
-  replica.handle(0, make_snapshot(servers));
-  FleetDay day;
-  struct End {
-    std::string id;
-    int attempt;
-    double took;
-    Outcome outcome;
-  };
-  std::multimap<double, End> due;
-  std::uint64_t draw = 7;
-  const auto sends = [&](const std::vector<Action>& actions, int number, int attempt) {
-    for (const SendAttempt& send : only<SendAttempt>(actions)) {
-      const double took = answer_time * (number % 4 == 0 ? 2.5 : 0.5);  // one in four is a long one
-      const bool late = took >= send.timeout;
-      const double ends = std::min(took, send.timeout);
-      due.emplace(replica.now + ends,
-                  End{send.id, attempt, ends, late ? Outcome::kTimedOut : Outcome::kSuccess});
-    }
-    return static_cast<int>(only<SendAttempt>(actions).size());
-  };
-  double now = 0;
-  for (int i = 0; now < seconds; ++i) {
-    draw = draw * 6364136223846793005ULL + 1442695040888963407ULL;
-    now += -std::log((static_cast<double>(draw >> 11) + 1) * 0x1.0p-53) / rate;
-    while (!due.empty() && due.begin()->first <= now) {
-      replica.now = due.begin()->first;
-      const End end = due.begin()->second;
-      due.erase(due.begin());
-      sends(replica.end_attempt(end.id, end.outcome, end.attempt, end.took), std::stoi(end.id),
-            end.attempt + 1);
-    }
-    replica.now = now;
-    const auto actions = replica.request(std::to_string(i));
-    day.refused += static_cast<int>(only<RejectRequest>(actions).size());
-    day.sent += sends(actions, i, 0);
-  }
-  return day;
-}
-
-// Calls to a server that has stopped answering wait for nothing, and behind each other.
 TEST(ConcurrencyLimit, RequestsToUnresponsiveEndpointsAreBounded) {
-  TestReplica replica(roomy_settings());
+  TestReplica replica(settings_with_large_quota());
   replica.handle(0, make_snapshot(3));
   int sent = 0;
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.01;
     const auto actions = replica.request(std::to_string(i));
     sent += static_cast<int>(only<SendAttempt>(actions).size());
-    refused += static_cast<int>(only<RejectRequest>(actions).size());
+    rejected += static_cast<int>(only<RejectRequest>(actions).size());
   }
-  EXPECT_EQ(sent + refused, 300);
+  EXPECT_EQ(sent + rejected, 300);
   EXPECT_GT(sent, 3);
   EXPECT_LT(sent, 40);
 }
@@ -98,10 +43,11 @@
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(4));
   int sent = 0;
-  for (int i = 0; i < 500; ++i) sent += arriving(replica, std::to_string(i)).empty() ? 0 : 1;
-  EXPECT_EQ(sent, 500) << "slow clients shut nobody out";
+  for (int i = 0; i < 500; ++i)
+    sent += request_with_arriving_body(replica, std::to_string(i)).empty() ? 0 : 1;
+  EXPECT_EQ(sent, 500) << "slow clients do not use up the limit";
   for (int i = 0; i < 500; ++i) replica.handle(1, RequestBodySent{std::to_string(i), 0});
-  EXPECT_TRUE(only<SendAttempt>(replica.request("next")).empty()) << "from there on the servers have them";
+  EXPECT_TRUE(only<SendAttempt>(replica.request("next")).empty()) << "complete requests count";
   for (int i = 0; i < 500; ++i) replica.end_attempt(std::to_string(i), Outcome::kCancelled);
   EXPECT_FALSE(only<SendAttempt>(replica.request("after")).empty());
 }
@@ -109,10 +55,10 @@
 TEST(ConcurrencyLimit, ReusedSlotIsNotChargedForEarlierEndpoint) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(1));
-  ASSERT_EQ(arriving(replica, "a"), "s0");
-  EndpointUpdate next;
-  next.endpoints = {make_endpoint(1)};
-  replica.handle(0, next);
+  ASSERT_EQ(request_with_arriving_body(replica, "a"), "s0");
+  EndpointUpdate replacement;
+  replacement.endpoints = {make_endpoint(1)};
+  replica.handle(0, replacement);
   replica.handle(1, RequestBodySent{"a", 0});
   replica.end_attempt("a", Outcome::kServerError);
   for (int i = 0; i < 3; ++i)
@@ -127,74 +73,151 @@
     replica.now += 0.05;
     ASSERT_FALSE(only<SendAttempt>(replica.request(id)).empty()) << i;
     replica.handle(replica.now, ResponseStarted{id, 0, 0.1});
-    if (i >= 100)
-      replica.end_attempt(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // it took long to pass
+    if (i >= 100) replica.end_attempt(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // a long transfer
   }
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
 }
 
+// What is a small start for one replica would be an overload when all of them start together.
 TEST(ConcurrencyLimit, InitialLimitIsSplitAmongReplicas) {
-  std::map<std::string, int> held;
+  std::map<std::string, int> in_flight;  // by endpoint
   for (int index = 0; index < 8; ++index) {
-    Settings s = roomy_settings();
-    s.replica_index = index;
-    s.replica_count = 8;
-    TestReplica replica(s, static_cast<std::uint64_t>(index) + 1);
+    Settings settings = settings_with_large_quota();
+    settings.replica_index = index;
+    settings.replica_count = 8;
+    TestReplica replica(settings, static_cast<std::uint64_t>(index) + 1);
     replica.handle(0, make_snapshot(10));
     for (int i = 0; i < 100; ++i) {
       for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
-        ++held[send.endpoint];
+        ++in_flight[send.endpoint];
     }
   }
-  EXPECT_EQ(held.size(), 10U);
-  for (const auto& [address, calls] : held) EXPECT_LE(calls, 16) << address;
+  EXPECT_EQ(in_flight.size(), 10U);
+  for (const auto& [address, requests] : in_flight) EXPECT_LE(requests, 16) << address;
 }
 
-// A refusal past the first tier throws away the work that was done above it.
+// A rejection beyond the first tier wastes the work that was done in front of it.
 TEST(ConcurrencyLimit, RejectsNothingBeyondFirstTier) {
-  Settings s = roomy_settings();
-  s.tier = 1;
-  TestReplica replica(s);
+  Settings settings = settings_with_large_quota();
+  settings.tier = 1;
+  TestReplica replica(settings);
   replica.handle(0, make_snapshot(3));
   for (int i = 0; i < 300; ++i) EXPECT_EQ(only<SendAttempt>(replica.request(std::to_string(i))).size(), 1U);
 }
 
-// A sparse replica took two calls out at once for a queue and refused a tenth of a calm day.
+// One of many replicas, with its share of the fleet's requests.
+struct ReplicaTraffic {
+  int replicas;
+  int endpoints;
+  double rate;      // requests/s of this replica, at random times
+  double latency;   // s; every fourth response takes 2.5 times as long, the others half of it
+  double duration;  // s
+};
+
+struct TrafficCounts {
+  int admitted = 0;
+  int rejected = 0;
+};
+
+class ReplicaTrafficRun {
+ public:
+  explicit ReplicaTrafficRun(const ReplicaTraffic& traffic)
+      : traffic_(traffic), replica_(settings_of(traffic)) {
+    replica_.handle(0, make_snapshot(traffic.endpoints));
+  }
+
+  TrafficCounts run() {
+    double now = 0;
+    for (int number = 0; now < traffic_.duration; ++number) {
+      const double uniform = (static_cast<double>(random_.next_state() >> 11) + 1) * 0x1.0p-53;
+      now += -std::log(uniform) / traffic_.rate;
+      end_due_attempts(now);
+      replica_.now = now;
+      const auto actions = replica_.request(std::to_string(number));
+      counts_.admitted += static_cast<int>(only<SendAttempt>(actions).size());
+      counts_.rejected += static_cast<int>(only<RejectRequest>(actions).size());
+      send(actions, number, 0);
+    }
+    return counts_;
+  }
+
+ private:
+  struct OpenAttempt {
+    std::string request_id;
+    int attempt;
+    double elapsed;
+    Outcome outcome;
+  };
+
+  static Settings settings_of(const ReplicaTraffic& traffic) {
+    Settings settings = basic_settings();
+    settings.replica_count = traffic.replicas;
+    settings.tenants = {{traffic.rate * traffic.replicas}};
+    return settings;
+  }
+
+  void send(const std::vector<Action>& actions, int number, int attempt) {
+    for (const SendAttempt& send : only<SendAttempt>(actions)) {
+      const double latency = traffic_.latency * (number % 4 == 0 ? 2.5 : 0.5);
+      const double elapsed = std::min(latency, send.timeout);
+      const Outcome outcome = latency >= send.timeout ? Outcome::kTimedOut : Outcome::kSuccess;
+      open_attempts_.emplace(replica_.now + elapsed, OpenAttempt{send.id, attempt, elapsed, outcome});
+    }
+  }
+
+  void end_due_attempts(double now) {
+    while (!open_attempts_.empty() && open_attempts_.begin()->first <= now) {
+      replica_.now = open_attempts_.begin()->first;
+      const OpenAttempt due = open_attempts_.begin()->second;
+      open_attempts_.erase(open_attempts_.begin());
+      const auto actions = replica_.end_attempt(due.request_id, due.outcome, due.attempt, due.elapsed);
+      send(actions, std::stoi(due.request_id), due.attempt + 1);
+    }
+  }
+
+  ReplicaTraffic traffic_;
+  TestReplica replica_;
+  LinearCongruentialRandom random_{7};
+  std::multimap<double, OpenAttempt> open_attempts_;  // by their end
+  TrafficCounts counts_;
+};
+
+TrafficCounts run(const ReplicaTraffic& traffic) { return ReplicaTrafficRun(traffic).run(); }
+
+// A replica with few requests must not take two at once for a queue.
 TEST(ConcurrencyLimit, LowTrafficReplicaDoesNotRejectRandomBursts) {
-  const FleetDay calm = fleet_day(400, 60, 2.5, 0.3, 60);
-  EXPECT_GT(calm.sent, 120);
-  EXPECT_LE(calm.refused, calm.sent / 50);
+  const TrafficCounts counts = run({400, 60, 2.5, 0.3, 60});
+  EXPECT_GT(counts.admitted, 120);
+  EXPECT_LE(counts.rejected, counts.admitted / 50);
 }
 
-// With bounds of a call or so, none of many sparse replicas ever holds back and a jam never runs off.
+// With a limit of a request or so none of many replicas would ever reject, and an overload would never end.
 TEST(ConcurrencyLimit, LowTrafficReplicaRejectsWhenResponsesAreTooSlow) {
-  const FleetDay jammed = fleet_day(400, 60, 2.5, 5, 60);
-  EXPECT_GT(jammed.refused, 2 * jammed.sent);
+  const TrafficCounts counts = run({400, 60, 2.5, 5, 60});
+  EXPECT_GT(counts.rejected, 2 * counts.admitted);
 }
 
-// A server's room is less than one call at each of many replicas. Counted in whole calls it shut most
-// servers to most replicas, and a replica with a few calls out refused the next before servers that stood
-// idle.
+// An endpoint's capacity is less than one request of each of many replicas: counted in whole requests, it
+// would make a replica with a few in flight reject the next while endpoints are idle.
 TEST(ConcurrencyLimit, ManyReplicasDoNotExhaustEachOthersCapacity) {
-  const FleetDay calm = fleet_day(48, 16, 12, 0.3, 60);
-  EXPECT_GT(calm.sent, 500);
-  EXPECT_LE(calm.refused, calm.sent / 30);
+  const TrafficCounts counts = run({48, 16, 12, 0.3, 60});
+  EXPECT_GT(counts.admitted, 500);
+  EXPECT_LE(counts.rejected, counts.admitted / 30);
 }
 
-// With few calls a replica learns its tier's usual answer time late, and what was assumed instead had
-// each of many replicas refuse calls from the first second on where an idle tier is slower.
+// With few requests a replica learns its tier's usual latency late.
 TEST(ConcurrencyLimit, StartIsServedBeforeUsualLatencyIsLearned) {
   for (const double rate : {6.0, 10.0}) {
-    const FleetDay start = fleet_day(48, 16, rate, 0.7, 4);
-    EXPECT_GT(start.sent, 20) << rate;
-    EXPECT_LE(start.refused, 3) << rate;
+    const TrafficCounts counts = run({48, 16, rate, 0.7, 4});
+    EXPECT_GT(counts.admitted, 20) << rate;
+    EXPECT_LE(counts.rejected, 3) << rate;
   }
 }
 
-// And the room of all servers together is a limit all the same.
 TEST(ConcurrencyLimit, ManyReplicasRejectWhenResponsesAreTooSlow) {
-  const FleetDay jammed = fleet_day(48, 16, 12, 5, 60);
-  EXPECT_GT(jammed.refused, jammed.sent);
+  const TrafficCounts counts = run({48, 16, 12, 5, 60});
+  EXPECT_GT(counts.rejected, counts.admitted);
 }
+
 }  // namespace
 }  // namespace asterdrift::balancer
--- a/tests/balancer/connect_failure_test.cpp
+++ b/tests/balancer/connect_failure_test.cpp
@@ -1,64 +1,66 @@
-// Connections that do not come up in time: what the module makes of them.
+// Connections that are not established: what they cost the retry budget.
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 #include "support/balancer_fixture.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-// Sends one request whose first attempts end so, until nothing more is sent; how many attempts there were.
-int attempts(TestReplica& replica, const std::string& id, const std::vector<Outcome>& ends) {
-  int sent = 0;
+// Sends a request whose first attempts have these outcomes and whose next one succeeds. Returns the attempts.
+int count_attempts(TestReplica& replica, const std::string& id, const std::vector<Outcome>& outcomes) {
+  int attempts = 0;
   auto actions = replica.request(id);
   while (!only<SendAttempt>(actions).empty()) {
-    const auto at = static_cast<std::size_t>(sent);
-    actions = replica.end_attempt(id, at < ends.size() ? ends[at] : Outcome::kSuccess, sent);
-    ++sent;
+    const auto index = static_cast<std::size_t>(attempts);
+    const Outcome outcome = index < outcomes.size() ? outcomes[index] : Outcome::kSuccess;
+    actions = replica.end_attempt(id, outcome, attempts);
+    ++attempts;
   }
-  return sent;
+  return attempts;
 }
 
-// Past tier 0, where neither a tenant's limit nor a server's room refuses these few calls.
-TestReplica copy_with_servers() {
-  Settings settings = basic_settings();
+// Beyond the first tier, where neither a rate limit nor a concurrency limit rejects these few requests.
+TestReplica replica_beyond_first_tier() {
+  Settings settings = settings_with_large_quota();
   settings.tier = 1;
-  settings.tenants = {{1000.0}};
   TestReplica replica(settings);
   replica.handle(0, make_snapshot(8));
   return replica;
 }
 
-// The budget for retries is a fifth of the calls; here every call needs another connection.
+// The retry budget is a fifth of the requests; here each of them needs another connection.
 TEST(ConnectFailure, IsNotChargedToRetryBudget) {
-  TestReplica replica = copy_with_servers();
+  TestReplica replica = replica_beyond_first_tier();
   for (int i = 0; i < 60; ++i) {
     replica.now = 0.2 * i;
-    EXPECT_EQ(attempts(replica, "d" + std::to_string(i), {Outcome::kConnectFailed}), 2) << i;
+    EXPECT_EQ(count_attempts(replica, "d" + std::to_string(i), {Outcome::kConnectFailed}), 2) << i;
   }
 }
 
-// Each request in turn meets a failed dial and then an error: its dial is free, the repeat after it is not.
+// After a connect failure and an error, the first retry is free and the second one is not.
 TEST(ConnectFailure, LaterErrorIsChargedToRetryBudget) {
-  TestReplica replica = copy_with_servers();
-  int repeats = 0;
+  TestReplica replica = replica_beyond_first_tier();
+  int charged_retries = 0;
   for (int i = 0; i < 60; ++i) {
     replica.now = 0.2 * i;
-    const int sent =
-        attempts(replica, "e" + std::to_string(i), {Outcome::kConnectFailed, Outcome::kServerError});
-    EXPECT_GE(sent, 2) << i;
-    repeats += sent - 2;
+    const int attempts =
+        count_attempts(replica, "e" + std::to_string(i), {Outcome::kConnectFailed, Outcome::kServerError});
+    EXPECT_GE(attempts, 2) << i;
+    charged_retries += attempts - 2;
   }
-  EXPECT_LE(repeats, 5 + 60 / 5);
-  EXPECT_GE(repeats, 5);
+  EXPECT_LE(charged_retries, 5 + 60 / 5);
+  EXPECT_GE(charged_retries, 5);
 }
 
-// Where no connection comes up at all, the attempts allowed for one request are the bound.
 TEST(ConnectFailure, RetriesEndAtMaxAttempts) {
-  TestReplica replica = copy_with_servers();
-  const std::vector<Outcome> never(10, Outcome::kConnectFailed);
+  TestReplica replica = replica_beyond_first_tier();
+  const std::vector<Outcome> never_connected(10, Outcome::kConnectFailed);
   for (int i = 0; i < 20; ++i) {
     replica.now = 0.2 * i;
-    EXPECT_EQ(attempts(replica, "n" + std::to_string(i), never), 4) << i;
+    EXPECT_EQ(count_attempts(replica, "n" + std::to_string(i), never_connected), 4) << i;
   }
 }
 
--- a/tests/balancer/final_response_test.cpp
+++ b/tests/balancer/final_response_test.cpp
@@ -1,46 +1,43 @@
 // Each request gets exactly one final response.
 #include <gtest/gtest.h>
 
-#include <map>
-#include <set>
+#include <string>
+#include <vector>
 
 #include "support/balancer_fixture.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-std::size_t finals(const std::vector<Action>& actions) {
-  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
+TestReplica replica_without_retries() {
+  Settings settings = basic_settings(make_request_class(Idempotency::kNotIdempotent));
+  settings.max_attempts = 1;
+  TestReplica replica(settings);
+  replica.handle(0, make_snapshot(3));
+  return replica;
 }
 
-constexpr Outcome kFailures[] = {Outcome::kServerError,   Outcome::kRejected,        Outcome::kTimedOut,
-                                 Outcome::kConnectFailed, Outcome::kConnectionReset, Outcome::kCancelled,
-                                 Outcome::kNotSent,       Outcome::kUnknown};
-
-// Orders in which an outcome, the deadline and the client's leaving can meet: one final answer, none after.
+// The orders in which an outcome and the client's departure can meet.
 TEST(FinalResponse, IsGivenOnceInEveryOrderOfEvents) {
-  for (const Outcome outcome : kFailures) {
-    for (const bool gone_first : {false, true}) {
-      Settings s = basic_settings(make_request_class(Idempotency::kNotIdempotent));
-      s.max_attempts = 1;
-      TestReplica replica(s);
-      replica.handle(0, make_snapshot(3));
+  for (const Outcome outcome : kFailureOutcomes) {
+    for (const bool client_departs_first : {false, true}) {
+      TestReplica replica = replica_without_retries();
       ASSERT_EQ(only<SendAttempt>(replica.request("r")).size(), 1U);
       replica.now = 1;
-      std::vector<Action> after;
-      if (gone_first) {
-        after = replica.handle(1, RequestAborted{"r"});
-        EXPECT_EQ(finals(after), 0U);
-        EXPECT_EQ(only<CancelAttempt>(after).size(), 1U);
-        after = replica.end_attempt("r", outcome);
-        EXPECT_EQ(finals(after), 0U);
+      std::vector<Action> actions;
+      if (client_departs_first) {
+        actions = replica.handle(1, RequestAborted{"r"});
+        EXPECT_EQ(count_final_responses(actions), 0U);
+        EXPECT_EQ(only<CancelAttempt>(actions).size(), 1U);
+        actions = replica.end_attempt("r", outcome);
+        EXPECT_EQ(count_final_responses(actions), 0U);
       } else {
-        after = replica.end_attempt("r", outcome);
-        EXPECT_EQ(finals(after), 1U);
+        actions = replica.end_attempt("r", outcome);
+        EXPECT_EQ(count_final_responses(actions), 1U);
         EXPECT_TRUE(replica.handle(1, RequestAborted{"r"}).empty());
       }
-      EXPECT_TRUE(only<SendAttempt>(after).empty());
-      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "an outcome twice";
+      EXPECT_TRUE(only<SendAttempt>(actions).empty());
+      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "a repeated outcome";
     }
   }
 }
@@ -54,39 +51,41 @@
 }
 
 TEST(FinalResponse, AttemptTimeoutDoesNotExceedClientTimeout) {
-  RequestClass c = make_request_class(Idempotency::kNotIdempotent);
-  c.late_priority_weight = 0.5;
-  TestReplica replica(basic_settings(c));
+  RequestClass request_class = make_request_class(Idempotency::kNotIdempotent);
+  request_class.late_priority_weight = 0.5;
+  TestReplica replica(basic_settings(request_class));
   replica.handle(0, make_snapshot(3));
-  Request r;
-  r.id = "r";
-  r.time_left = 0.7;
-  const auto sends = only<SendAttempt>(replica.handle(0, r));
-  ASSERT_EQ(sends.size(), 1U);
-  EXPECT_LE(sends[0].timeout, 0.7);
-  EXPECT_GT(sends[0].timeout, 0);
+  Request request;
+  request.id = "r";
+  request.time_left = 0.7;
+  const auto sent = only<SendAttempt>(replica.handle(0, request));
+  ASSERT_EQ(sent.size(), 1U);
+  EXPECT_LE(sent[0].timeout, 0.7);
+  EXPECT_GT(sent[0].timeout, 0);
 }
 
 TEST(FinalResponse, RequestIsRejectedWithoutReadyEndpoints) {
-  TestReplica nothing_known(basic_settings());
-  EXPECT_EQ(only<RejectRequest>(nothing_known.request("a")).size(), 1U);
-  TestReplica draining(basic_settings());
-  EndpointUpdate m = make_snapshot(3);
-  for (Endpoint& s : m.endpoints) s.state = EndpointState::kDraining;
-  draining.handle(0, m);
-  EXPECT_EQ(only<RejectRequest>(draining.request("a")).size(), 1U);
+  TestReplica without_endpoints(basic_settings());
+  EXPECT_EQ(only<RejectRequest>(without_endpoints.request("a")).size(), 1U);
+  TestReplica with_draining_endpoints(basic_settings());
+  EndpointUpdate snapshot = make_snapshot(3);
+  for (Endpoint& endpoint : snapshot.endpoints) endpoint.state = EndpointState::kDraining;
+  with_draining_endpoints.handle(0, snapshot);
+  EXPECT_EQ(only<RejectRequest>(with_draining_endpoints.request("a")).size(), 1U);
 }
 
 TEST(FinalResponse, IsGivenAfterMaxAttempts) {
-  Settings s = basic_settings();
-  s.max_attempts = 3;
-  TestReplica replica(s);
+  Settings settings = basic_settings();
+  settings.max_attempts = 3;
+  TestReplica replica(settings);
   replica.handle(0, make_snapshot(8));
   auto actions = replica.request("r");
-  int sends = 0;
-  while (!only<SendAttempt>(actions).empty()) actions = replica.end_attempt("r", Outcome::kRejected, sends++);
-  EXPECT_LE(sends, 3);
-  EXPECT_EQ(finals(actions), 1U);
+  int attempts = 0;
+  while (!only<SendAttempt>(actions).empty())
+    actions = replica.end_attempt("r", Outcome::kRejected, attempts++);
+  EXPECT_LE(attempts, 3);
+  EXPECT_EQ(count_final_responses(actions), 1U);
 }
+
 }  // namespace
 }  // namespace asterdrift::balancer
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,38 +1,33 @@
 // Retry policy: what is retried, where, and after how long.
 #include <gtest/gtest.h>
 
-#include <cmath>
 #include <map>
-#include <set>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "support/balancer_fixture.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-// A replica of many, with its part of the fleet's calls. They come at uneven times, answered late or never.
-struct FleetDay {
-  int sent = 0;
-  int refused = 0;
-};
-
 TEST(RetryPolicy, RetriesAreBoundedByBudget) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(4));
-  int firsts = 0;
-  int others = 0;
+  int first_attempts = 0;
+  int retries = 0;
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sends = only<SendAttempt>(replica.request(id));
-    firsts += static_cast<int>(sends.size());
-    for (int attempt = 0; !sends.empty(); ++attempt) {
-      sends = only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
-      others += static_cast<int>(sends.size());
+    auto sent = only<SendAttempt>(replica.request(id));
+    first_attempts += static_cast<int>(sent.size());
+    for (int attempt = 0; !sent.empty(); ++attempt) {
+      sent = only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
+      retries += static_cast<int>(sent.size());
     }
   }
-  EXPECT_GT(others, 0);
-  EXPECT_LT(others, firsts / 4 + 10);
+  EXPECT_GT(retries, 0);
+  EXPECT_LT(retries, first_attempts / 4 + 10);
 }
 
 TEST(RetryPolicy, RetryGoesToAnotherEndpoint) {
@@ -45,14 +40,14 @@
 }
 
 TEST(RetryPolicy, RequestWithConsumedBodyIsNotRetried) {
-  for (const bool gone : {false, true}) {
+  for (const bool consumed : {false, true}) {
     TestReplica replica(basic_settings());
     replica.handle(0, make_snapshot(4));
     replica.request("a");
-    if (gone) replica.handle(0, RequestBodyConsumed{"a"});
+    if (consumed) replica.handle(0, RequestBodyConsumed{"a"});
     const std::vector<Action> actions = replica.end_attempt("a", Outcome::kConnectFailed);
-    EXPECT_EQ(only<SendAttempt>(actions).empty(), gone);
-    EXPECT_EQ(only<RejectRequest>(actions).size(), gone ? 1U : 0U) << "no server has begun it";
+    EXPECT_EQ(only<SendAttempt>(actions).empty(), consumed);
+    EXPECT_EQ(only<RejectRequest>(actions).size(), consumed ? 1U : 0U) << "no server has begun it";
   }
 }
 
@@ -69,76 +64,98 @@
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
-std::size_t finals(const std::vector<Action>& actions) {
-  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
+
+bool proves_not_run(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-bool proves_unrun(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+// Two endpoints in each of four cells, one in each of two zones.
+EndpointUpdate snapshot_of_cells() {
+  EndpointUpdate snapshot;
+  for (int i = 0; i < 8; ++i) snapshot.endpoints.push_back(make_endpoint(i, i % 2, i / 2));
+  return snapshot;
 }
 
-constexpr Outcome kFailures[] = {Outcome::kServerError,   Outcome::kRejected,        Outcome::kTimedOut,
-                                 Outcome::kConnectFailed, Outcome::kConnectionReset, Outcome::kCancelled,
-                                 Outcome::kNotSent,       Outcome::kUnknown};
+// Sends one request, whose first attempt ends with `first_outcome`, and checks its retries and final
+// response.
+class RetryCheck {
+ public:
+  RetryCheck(const IdempotencyKind& kind, Outcome first_outcome, std::uint64_t seed)
+      : kind_(kind),
+        first_outcome_(first_outcome),
+        replica_(basic_settings(make_request_class(kind.idempotency, kind.scope)), seed) {
+    for (const Endpoint& endpoint : snapshot_of_cells().endpoints) endpoints_[endpoint.address] = endpoint;
+    replica_.handle(0, snapshot_of_cells());
+  }
 
-EndpointUpdate two_cells() {
-  EndpointUpdate m;
-  for (int i = 0; i < 8; ++i) m.endpoints.push_back(make_endpoint(i, i % 2, i / 2));
-  return m;
-}
+  void run() {
+    auto actions = replica_.request("r");
+    for (int attempt = 0; attempt < 10; ++attempt) {
+      const auto sent = only<SendAttempt>(actions);
+      if (sent.empty()) return expect_valid_final_response(actions);
+      ASSERT_EQ(sent.size(), 1U);
+      const Endpoint& endpoint = endpoints_[sent[0].endpoint];
+      expect_valid_retry(endpoint);
+      const Outcome outcome = attempt == 0 ? first_outcome_ : Outcome::kConnectFailed;
+      if (!may_have_run_at_ && !proves_not_run(outcome)) may_have_run_at_ = endpoint;
+      replica_.now += 0.05;
+      actions = replica_.end_attempt("r", outcome, attempt);
+      ASSERT_LT(attempt, 9);
+    }
+  }
+
+ private:
+  bool is_keyed(DedupScope scope) const {
+    return kind_.idempotency == Idempotency::kIdempotencyKey && kind_.scope == scope;
+  }
+
+  void expect_valid_retry(const Endpoint& endpoint) const {
+    if (!may_have_run_at_) return;
+    EXPECT_NE(kind_.idempotency, Idempotency::kNotIdempotent);
+    if (is_keyed(DedupScope::kZone)) {
+      EXPECT_EQ(endpoint.zone, may_have_run_at_->zone);
+    }
+    if (is_keyed(DedupScope::kCell)) {
+      EXPECT_EQ(endpoint.cell, may_have_run_at_->cell);
+    }
+  }
+
+  void expect_valid_final_response(const std::vector<Action>& actions) const {
+    EXPECT_EQ(count_final_responses(actions), 1U);
+    const bool rejected = !only<RejectRequest>(actions).empty();
+    if (rejected && may_have_run_at_ && kind_.idempotency != Idempotency::kIdempotent) {
+      EXPECT_TRUE(is_keyed(DedupScope::kAll));
+    }
+  }
+
+  IdempotencyKind kind_;
+  Outcome first_outcome_;
+  TestReplica replica_;
+  std::map<std::string, Endpoint> endpoints_;
+  std::optional<Endpoint> may_have_run_at_;
+};
 
-// Every effect and scope against every failure: what may be sent again, where, and what may be refused.
+// Every kind of idempotency against every failure: what may be retried, where, and what may be rejected.
 TEST(RetryPolicy, RetriesRespectIdempotencyAndDedupScope) {
-  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kAll},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kZone},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kCell},
-                                                      {Idempotency::kNotIdempotent, DedupScope::kCell}};
-  std::map<std::string, Endpoint> told;
-  for (const Endpoint& s : two_cells().endpoints) told[s.address] = s;
-  for (const auto& [effect, scope] : kinds) {
-    for (const Outcome first : kFailures) {
+  const IdempotencyKind kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
+                                   {Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                   {Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                   {Idempotency::kIdempotencyKey, DedupScope::kCell},
+                                   {Idempotency::kNotIdempotent, DedupScope::kCell}};
+  for (const IdempotencyKind& kind : kinds) {
+    for (const Outcome first_outcome : kFailureOutcomes) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        TestReplica replica(basic_settings(make_request_class(effect, scope)), seed);
-        replica.handle(0, two_cells());
-        std::optional<Endpoint> may_have_run;
-        std::string id = "r";
-        auto actions = replica.request(id);
-        for (int attempt = 0; attempt < 10; ++attempt) {
-          const auto sends = only<SendAttempt>(actions);
-          if (sends.empty()) {
-            EXPECT_EQ(finals(actions), 1U);
-            if (!only<RejectRequest>(actions).empty() && may_have_run && effect != Idempotency::kIdempotent) {
-              EXPECT_TRUE(effect == Idempotency::kIdempotencyKey && scope == DedupScope::kAll);
-            }
-            break;
-          }
-          ASSERT_EQ(sends.size(), 1U);
-          const Endpoint& s = told[sends[0].endpoint];
-          if (may_have_run) {
-            EXPECT_NE(effect, Idempotency::kNotIdempotent);
-            if (effect == Idempotency::kIdempotencyKey && scope == DedupScope::kZone) {
-              EXPECT_EQ(s.zone, may_have_run->zone);
-            }
-            if (effect == Idempotency::kIdempotencyKey && scope == DedupScope::kCell) {
-              EXPECT_EQ(s.cell, may_have_run->cell);
-            }
-          }
-          const Outcome outcome = attempt == 0 ? first : Outcome::kConnectFailed;
-          if (!may_have_run && !proves_unrun(outcome)) may_have_run = s;
-          replica.now += 0.05;
-          actions = replica.end_attempt(id, outcome, attempt);
-          ASSERT_LT(attempt, 9);
-        }
+        RetryCheck(kind, first_outcome, seed).run();
+        if (HasFatalFailure()) return;
       }
     }
   }
 }
 
 TEST(RetryPolicy, NothingIsRetriedAfterDedupWindow) {
-  RequestClass c = make_request_class(Idempotency::kIdempotencyKey, DedupScope::kAll);
-  c.dedup_window = 0.5;
-  TestReplica replica(basic_settings(c));
+  RequestClass request_class = make_request_class(Idempotency::kIdempotencyKey, DedupScope::kAll);
+  request_class.dedup_window = 0.5;
+  TestReplica replica(basic_settings(request_class));
   replica.handle(0, make_snapshot(4));
   ASSERT_EQ(only<SendAttempt>(replica.request("r")).size(), 1U);
   replica.now = 0.6;
--- a/tests/support/balancer_fixture.cpp
+++ b/tests/support/balancer_fixture.cpp
@@ -49,6 +49,10 @@
 
 EndpointUpdate failed_watch() { return {EndpointUpdate::Form::kWatchFailed, {}}; }
 
+std::size_t count_final_responses(const std::vector<Action>& actions) {
+  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
+}
+
 std::vector<Action> TestReplica::handle(double time, const Event& event) {
   now = time;
   std::vector<Action> actions;
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -32,6 +32,20 @@
 // A failed poll or a broken watch.
 EndpointUpdate failed_watch();
 
+// What may happen when a request is executed more than once.
+struct IdempotencyKind {
+  Idempotency idempotency;
+  DedupScope scope;
+};
+
+// All outcomes but success.
+constexpr Outcome kFailureOutcomes[] = {
+    Outcome::kServerError,     Outcome::kRejected,  Outcome::kTimedOut, Outcome::kConnectFailed,
+    Outcome::kConnectionReset, Outcome::kCancelled, Outcome::kNotSent,  Outcome::kUnknown};
+
+// Rejections and failures.
+std::size_t count_final_responses(const std::vector<Action>& actions);
+
 // A balancer with its clock; each event returns the actions that it causes.
 class TestReplica {
  public:
