--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -1,11 +1,8 @@
-// Endpoint selection: the less busy of two.
+// Endpoint selection: the less busy of two random candidates.
 #include <gtest/gtest.h>
 
-#include <algorithm>
-#include <limits>
 #include <map>
-#include <set>
-#include <stdexcept>
+#include <string>
 
 #include "support/balancer_fixture.h"
 
@@ -13,47 +10,47 @@
 namespace {
 
 TEST(EndpointSelection, PrefersLessBusyEndpoint) {
-  Settings s = basic_settings();
-  TestReplica replica(s);
+  TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(2));
-  std::map<std::string, int> held;
+  std::map<std::string, int> in_flight;
   for (int i = 0; i < 10; ++i) {
     for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
-      ++held[send.endpoint];
+      ++in_flight[send.endpoint];
   }
-  EXPECT_EQ(held["s0"], 5);
-  EXPECT_EQ(held["s1"], 5);
+  EXPECT_EQ(in_flight["s0"], 5);
+  EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// Comparing sizes, a replica with nothing in flight gave every call to the largest server.
+// Also for a replica with nothing in flight, to which all endpoints look equally busy.
 TEST(EndpointSelection, SelectionIsProportionalToWeight) {
   TestReplica replica(basic_settings());
-  EndpointUpdate m = make_snapshot(2);
-  m.endpoints[1].weight = 3;
-  replica.handle(0, m);
-  std::map<std::string, int> used;
+  EndpointUpdate snapshot = make_snapshot(2);
+  snapshot.endpoints[1].weight = 3;
+  replica.handle(0, snapshot);
+  std::map<std::string, int> attempts;
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.4;
     for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
-      ++used[send.endpoint];
+      ++attempts[send.endpoint];
     replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
-  EXPECT_NEAR(used["s0"], 100, 30);
-  EXPECT_NEAR(used["s1"], 300, 30);
+  EXPECT_NEAR(attempts["s0"], 100, 30);
+  EXPECT_NEAR(attempts["s1"], 300, 30);
 }
 
 TEST(EndpointSelection, SameSeedAndEventsGiveSameActions) {
-  const auto run = [] {
+  const auto selected_endpoints = [] {
     TestReplica replica(basic_settings(), 99);
     replica.handle(5, make_snapshot(12));
-    std::string out;
+    std::string selected;
     for (int i = 0; i < 200; ++i) {
       for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
-        out += send.endpoint + " ";
+        selected += send.endpoint + " ";
     }
-    return out;
+    return selected;
   };
-  EXPECT_EQ(run(), run());
+  EXPECT_EQ(selected_endpoints(), selected_endpoints());
 }
+
 }  // namespace
 }  // namespace asterdrift::balancer
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -1,52 +1,64 @@
-// Settings that cannot be used.
+// Settings that are invalid, and events that refer beyond them.
 #include <gtest/gtest.h>
 
-#include <algorithm>
+#include <functional>
 #include <limits>
-#include <map>
-#include <set>
 #include <stdexcept>
+#include <string>
 
 #include "support/balancer_fixture.h"
 
 namespace asterdrift::balancer {
 namespace {
 
+using ChangeSettings = std::function<void(Settings&)>;
+
+// The error that a balancer reports after this change of valid settings, or "accepted".
+std::string error_after(const ChangeSettings& change) {
+  Settings settings = basic_settings();
+  settings.tenants = {{1.0}};
+  change(settings);
+  try {
+    const Balancer balancer(settings, 1);
+  } catch (const std::invalid_argument& error) {
+    return error.what();
+  }
+  return "accepted";
+}
+
+void expect_error_naming(const char* field, const ChangeSettings& change) {
+  const std::string error = error_after(change);
+  EXPECT_NE(error.find(field), std::string::npos) << field << ": " << error;
+}
+
 TEST(Settings, InvalidFieldIsNamed) {
-  const auto message = [](auto change) {
-    Settings s = basic_settings();
-    s.tenants = {{1.0}};
-    change(s);
-    try {
-      const Balancer b(s, 1);
-    } catch (const std::invalid_argument& problem) {
-      return std::string(problem.what());
-    }
-    return std::string("accepted");
-  };
-  const auto names = [&](auto change, const char* field) {
-    EXPECT_NE(message(change).find(field), std::string::npos) << field << ": " << message(change);
-  };
-  names([](Settings& s) { s.replica_count = 0; }, "replica_count");
-  names([](Settings& s) { s.replica_index = 1; }, "replica_index");
-  names([](Settings& s) { s.replica_index = -1; }, "replica_index");
-  names([](Settings& s) { s.clock_granularity = -1; }, "clock_granularity");
-  names([](Settings& s) { s.tier = -1; }, "tier");
-  names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-  names([](Settings& s) { s.max_retry_after = -1; }, "max_retry_after");
-  names([](Settings& s) { s.poll_within = -1; }, "poll_within");
-  names([](Settings& s) { s.slow_start_duration = -1; }, "slow_start_duration");
-  names([](Settings& s) { s.over_quota_priority_weight = -1; }, "over_quota_priority_weight");
-  names([](Settings& s) { s.slow_start_capacity = 1.5; }, "slow_start_capacity");
-  names([](Settings& s) { s.classes[0].idempotency = static_cast<Idempotency>(9); }, "idempotency");
-  names([](Settings& s) { s.classes[0].dedup_scope = static_cast<DedupScope>(9); }, "dedup_scope");
-  names([](Settings& s) { s.classes[0].latency_objective = -1; }, "latency_objective");
-  names([](Settings& s) { s.classes[0].timeout = -1; }, "timeout");
-  names([](Settings& s) { s.classes[0].dedup_window = -1; }, "dedup_window");
-  names([](Settings& s) { s.tenants[0].quota = -1; }, "quota");
-  names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
-        "latency_objective");
-  EXPECT_EQ(message([](Settings&) {}), "accepted");
+  constexpr double kNotANumber = std::numeric_limits<double>::quiet_NaN();
+  expect_error_naming("replica_count", [](Settings& settings) { settings.replica_count = 0; });
+  expect_error_naming("replica_index", [](Settings& settings) { settings.replica_index = 1; });
+  expect_error_naming("replica_index", [](Settings& settings) { settings.replica_index = -1; });
+  expect_error_naming("clock_granularity", [](Settings& settings) { settings.clock_granularity = -1; });
+  expect_error_naming("tier", [](Settings& settings) { settings.tier = -1; });
+  expect_error_naming("max_attempts", [](Settings& settings) { settings.max_attempts = 0; });
+  expect_error_naming("max_retry_after", [](Settings& settings) { settings.max_retry_after = -1; });
+  expect_error_naming("poll_within", [](Settings& settings) { settings.poll_within = -1; });
+  expect_error_naming("slow_start_duration", [](Settings& settings) { settings.slow_start_duration = -1; });
+  expect_error_naming("over_quota_priority_weight",
+                      [](Settings& settings) { settings.over_quota_priority_weight = -1; });
+  expect_error_naming("slow_start_capacity", [](Settings& settings) { settings.slow_start_capacity = 1.5; });
+  expect_error_naming("idempotency", [](Settings& settings) {
+    settings.classes[0].idempotency = static_cast<Idempotency>(9);
+  });
+  expect_error_naming("dedup_scope", [](Settings& settings) {
+    settings.classes[0].dedup_scope = static_cast<DedupScope>(9);
+  });
+  expect_error_naming("latency_objective",
+                      [](Settings& settings) { settings.classes[0].latency_objective = -1; });
+  expect_error_naming("timeout", [](Settings& settings) { settings.classes[0].timeout = -1; });
+  expect_error_naming("dedup_window", [](Settings& settings) { settings.classes[0].dedup_window = -1; });
+  expect_error_naming("quota", [](Settings& settings) { settings.tenants[0].quota = -1; });
+  expect_error_naming("latency_objective",
+                      [](Settings& settings) { settings.classes[0].latency_objective = kNotANumber; });
+  EXPECT_EQ(error_after([](Settings&) {}), "accepted");
 }
 
 TEST(Settings, OutOfRangeIndexesInEventsAreTolerated) {
@@ -60,5 +72,6 @@
   EXPECT_TRUE(replica.handle(0, RequestAborted{"never"}).empty());
   EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
 }
+
 }  // namespace
 }  // namespace asterdrift::balancer
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -2,121 +2,127 @@
 #include <gtest/gtest.h>
 
 #include <algorithm>
-#include <limits>
-#include <map>
+#include <functional>
+#include <iterator>
 #include <set>
-#include <stdexcept>
+#include <string>
+#include <vector>
 
 #include "support/balancer_fixture.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-TEST(Subset, CrowdedZoneSpillsOverToOtherZones) {
-  const auto far_share = [](double near_answer) {
-    Settings s = basic_settings();
-    s.cross_zone_cost = 0.01;
-    TestReplica replica(s);
-    EndpointUpdate m;
-    for (int i = 0; i < 12; ++i) m.endpoints.push_back(make_endpoint(i, i % 2));
-    replica.handle(0, m);
-    int far = 0;
-    for (int i = 0; i < 600; ++i) {
-      replica.now = i * 0.5;
-      const std::string id = std::to_string(i);
-      for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
-        const bool crossed = (send.endpoint.back() - '0') % 2 == 1;
-        far += crossed ? 1 : 0;
-        replica.end_attempt(id, Outcome::kSuccess, 0, crossed ? 0.12 : near_answer);
-      }
+constexpr int kZoneRequests = 600;
+
+// Of kZoneRequests, as fractions.
+struct ZoneFractions {
+  double own = 0;
+  double other = 0;
+};
+
+// Where a replica of zone 0 sends its requests. zones: of endpoint 0, 1, ...; latency: in seconds, by zone.
+ZoneFractions zone_fractions(const std::vector<int>& zones, const std::function<double(int zone)>& latency) {
+  Settings settings = basic_settings();
+  settings.cross_zone_cost = 0.01;
+  TestReplica replica(settings);
+  EndpointUpdate snapshot;
+  for (std::size_t i = 0; i < zones.size(); ++i)
+    snapshot.endpoints.push_back(make_endpoint(static_cast<int>(i), zones[i]));
+  replica.handle(0, snapshot);
+  int own = 0;
+  int other = 0;
+  for (int i = 0; i < kZoneRequests; ++i) {
+    replica.now = i * 0.5;
+    const std::string id = std::to_string(i);
+    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
+      const int zone = zones[std::stoul(send.endpoint.substr(1))];
+      ++(zone == 0 ? own : other);
+      replica.end_attempt(id, Outcome::kSuccess, 0, latency(zone));
     }
-    return far / 600.0;
+  }
+  return {own / static_cast<double>(kZoneRequests), other / static_cast<double>(kZoneRequests)};
+}
+
+TEST(Subset, CrowdedZoneSpillsOverToOtherZones) {
+  const auto other_zone_fraction = [](double own_zone_latency) {
+    const std::vector<int> zones = {0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1};
+    return zone_fractions(zones, [=](int zone) { return zone == 0 ? own_zone_latency : 0.12; }).other;
   };
-  EXPECT_LT(far_share(0.1), 0.1) << "crossing has a price; chance in the answer times must not pay it";
-  EXPECT_GT(far_share(0.5), 0.4);
+  EXPECT_LT(other_zone_fraction(0.1), 0.1)
+      << "random differences must not outweigh the cost of crossing zones";
+  EXPECT_GT(other_zone_fraction(0.5), 0.4);
 }
 
-// The one small server of a zone got all calls of its zone's replica while large ones elsewhere idled.
+// The only small endpoint of a zone would get all requests of that zone while large ones elsewhere are idle.
 TEST(Subset, ZoneWithFewEndpointsIsNotPreferred) {
-  const auto local_share = [](int local) {
-    Settings s = basic_settings();
-    s.cross_zone_cost = 0.01;
-    TestReplica replica(s);
-    EndpointUpdate m;
-    for (int i = 0; i < 9; ++i) m.endpoints.push_back(make_endpoint(i, i < local ? 0 : 1));
-    replica.handle(0, m);
-    int near = 0;
-    for (int i = 0; i < 600; ++i) {
-      replica.now = i * 0.5;
-      const std::string id = std::to_string(i);
-      for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
-        near += send.endpoint.back() - '0' < local ? 1 : 0;
-        replica.end_attempt(id, Outcome::kSuccess, 0, 0.1);
-      }
-    }
-    return near / 600.0;
+  const auto own_zone_fraction = [](int own_zone_endpoints) {
+    std::vector<int> zones(9, 1);
+    std::fill_n(zones.begin(), own_zone_endpoints, 0);
+    return zone_fractions(zones, [](int) { return 0.1; }).own;
   };
-  EXPECT_LT(local_share(1), 0.3);
-  EXPECT_LT(local_share(2), 0.4);
-  EXPECT_GT(local_share(3), 0.9);
+  EXPECT_LT(own_zone_fraction(1), 0.3);
+  EXPECT_LT(own_zone_fraction(2), 0.4);
+  EXPECT_GT(own_zone_fraction(3), 0.9);
 }
 
 TEST(Subset, SubsetsCoverEndpointsEvenly) {
   for (std::size_t replicas = 1; replicas <= 40; ++replicas) {
-    for (std::size_t servers = 1; servers <= 45; servers += 4) {
+    for (std::size_t endpoints = 1; endpoints <= 45; endpoints += 4) {
       for (const std::size_t size : {3U, 8U}) {
-        std::vector<int> uses(servers, 0);
-        for (std::size_t i = 0; i < replicas; ++i) {
-          const auto subset = subset_of(i, replicas, servers, size);
-          EXPECT_EQ(std::set<std::size_t>(subset.begin(), subset.end()).size(), std::min(size, servers));
-          for (const std::size_t at : subset) ++uses[at];
+        std::vector<int> uses(endpoints, 0);
+        for (std::size_t replica = 0; replica < replicas; ++replica) {
+          const auto subset = subset_of(replica, replicas, endpoints, size);
+          const std::set<std::size_t> distinct(subset.begin(), subset.end());
+          EXPECT_EQ(distinct.size(), std::min(size, endpoints));
+          for (const std::size_t position : subset) ++uses[position];
         }
-        const auto [least, most] = std::minmax_element(uses.begin(), uses.end());
-        // Starts of one replica or of evenly spread ones: no server is used by over one replica more than
-        // another.
-        EXPECT_LE(*most - *least, 1) << replicas << " copies, " << servers << " servers, size " << size;
+        const auto [min, max] = std::minmax_element(uses.begin(), uses.end());
+        EXPECT_LE(*max - *min, 1) << replicas << " replicas, " << endpoints << " endpoints, size " << size;
       }
     }
   }
 }
 
+std::set<std::string> used_endpoints(const Settings& settings, const EndpointUpdate& snapshot) {
+  TestReplica replica(settings);
+  replica.handle(0, snapshot);
+  std::set<std::string> used;
+  for (int i = 0; i < 400; ++i) {
+    const std::string id = std::to_string(i);
+    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) used.insert(send.endpoint);
+    replica.end_attempt(id, Outcome::kSuccess);
+  }
+  return used;
+}
+
 TEST(Subset, ChangesLittleWhenOneEndpointIsRemoved) {
+  const EndpointUpdate snapshot = make_snapshot(24);
+  EndpointUpdate without_one = snapshot;
+  without_one.endpoints.erase(without_one.endpoints.begin() + 5);
   for (const int replicas : {3, 7, 12}) {
     for (int index = 0; index < replicas; ++index) {
-      Settings s = basic_settings();
-      s.replica_index = index;
-      s.replica_count = replicas;
-      const auto used = [&](bool without_one) {
-        TestReplica replica(s);
-        EndpointUpdate m = make_snapshot(24);
-        if (without_one) m.endpoints.erase(m.endpoints.begin() + 5);
-        replica.handle(0, m);
-        std::set<std::string> out;
-        for (int i = 0; i < 400; ++i) {
-          const std::string id = std::to_string(i);
-          for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) out.insert(send.endpoint);
-          replica.end_attempt(id, Outcome::kSuccess);
-        }
-        return out;
-      };
-      const auto before = used(false);
-      const auto after = used(true);
-      std::vector<std::string> kept;
+      Settings settings = basic_settings();
+      settings.replica_index = index;
+      settings.replica_count = replicas;
+      const auto before = used_endpoints(settings, snapshot);
+      const auto after = used_endpoints(settings, without_one);
+      std::vector<std::string> common;
       std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
-                            std::back_inserter(kept));
-      EXPECT_GE(kept.size() + 2, before.size());
+                            std::back_inserter(common));
+      EXPECT_GE(common.size() + 2, before.size());
     }
   }
 }
 
-// With a subset of fixed size a lone replica would leave most of a large tier without work.
+// With a subset of fixed size few replicas would leave most of a large tier without work.
 TEST(Subset, FewReplicasReachAllEndpoints) {
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
-    Settings s = basic_settings();
-    s.replica_index = index;
-    s.replica_count = 2;
-    TestReplica replica(s);
+    Settings settings = basic_settings();
+    settings.replica_index = index;
+    settings.replica_count = 2;
+    TestReplica replica(settings);
     replica.handle(0, make_snapshot(40));
     for (int i = 0; i < 200; ++i) {
       for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
@@ -125,5 +131,6 @@
   }
   EXPECT_EQ(used.size(), 40U);
 }
+
 }  // namespace
 }  // namespace asterdrift::balancer
