--- a/tests/balancer/random_walk_test.cpp
+++ b/tests/balancer/random_walk_test.cpp
@@ -1,262 +1,287 @@
-// The four rules under random legal orders of events, with fixed seeds: restarts of replicas and servers,
-// drains, stale, partial, failed, empty and full lists, early leavers, late and doubled outcomes.
+// The module's invariants under random valid orders of events, with fixed seeds: restarts of replicas and
+// servers, drains, incremental, empty and complete lists, failed watches, early departures, late and repeated
+// outcomes.
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <iterator>
 #include <map>
 #include <optional>
-#include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "support/balancer_fixture.h"
+#include "support/linear_congruential_random.h"
 
 namespace asterdrift::balancer {
 namespace {
 
-class Walk {
+constexpr double kResponseGrace = 0.15;  // s; steps are up to 0.12 s apart
+constexpr std::size_t kEndpoints = 14;
+
+// Sends random events to one replica and checks each of its actions.
+class RandomWalk {
  public:
-  Walk(std::uint64_t seed, Idempotency effect, DedupScope scope, bool ask)
-      : state_(seed), effect_(effect), scope_(scope) {
-    settings_ = basic_settings(make_request_class(effect, scope));
+  RandomWalk(std::uint64_t seed, IdempotencyKind kind, bool requires_watch) : random_(seed), kind_(kind) {
+    settings_ = basic_settings(make_request_class(kind.idempotency, kind.scope));
     settings_.classes[0].dedup_window = 0.8;
     settings_.classes[0].late_priority_weight = seed % 2 == 0 ? 0.3 : 0;
-    settings_.replica_count = 1 + static_cast<int>(below(300));
-    settings_.tier = static_cast<int>(below(2));
+    settings_.replica_count = 1 + static_cast<int>(random_.below(300));
+    settings_.tier = static_cast<int>(random_.below(2));
     settings_.tenants = {{40.0}, {0.0}, {}};
-    settings_.requires_watch = ask;
+    settings_.requires_watch = requires_watch;
     settings_.poll_within = 10;
     settings_.slow_start_capacity = 0.2;
     settings_.slow_start_duration = 8;
     settings_.cross_zone_cost = seed % 3 == 0 ? 0.02 : 0;
-    restart();
+    restart_replica();
   }
 
   void step() {
-    now_ += 0.001 * static_cast<double>(below(120));
-    check_deadlines();
-    const std::size_t kind = below(100);
-    if (kind < 45) {
-      request();
-    } else if (kind < 85) {
-      outcome();
-    } else if (kind < 93) {
-      list();
-    } else if (kind < 98) {
-      leave();
-    } else if (below(12) == 0) {
-      restart();
+    now_ += 0.001 * static_cast<double>(random_.below(120));
+    end_overdue_attempts();
+    const std::size_t draw = random_.below(100);
+    if (draw < 45) {
+      send_request();
+    } else if (draw < 85) {
+      end_random_attempt();
+    } else if (draw < 93) {
+      update_endpoints();
+    } else if (draw < 98) {
+      abort_random_request();
+    } else if (random_.below(12) == 0) {
+      restart_replica();
     }
   }
 
-  int sends() const { return sends_; }
-  int finals() const { return finals_; }
+  int attempts() const { return attempts_; }
+  int final_responses() const { return final_responses_; }
 
  private:
-  struct Sent {
+  struct SentAttempt {
     std::string endpoint;
-    double at = 0, timeout = 0;
-    bool open = true, ran = true;
+    double sent_at = 0;
+    double timeout = 0;
+    bool open = true;
+    bool may_have_run = true;
   };
-  struct Live {
-    double until = 0;
+  struct PendingRequest {
+    double deadline = 0;
     bool finished = false;
-    std::vector<Sent> sent;
-  };
+    std::vector<SentAttempt> attempts;
 
-  std::uint64_t next() {
-    state_ = state_ * 6364136223846793005ULL + 1442695040888963407ULL;
-    return state_ >> 33;
-  }
-  std::size_t below(std::size_t n) { return static_cast<std::size_t>(next() % n); }
+    bool has_open_attempt() const {
+      return std::any_of(attempts.begin(), attempts.end(),
+                         [](const SentAttempt& attempt) { return attempt.open; });
+    }
+    bool may_have_run() const {
+      return std::any_of(attempts.begin(), attempts.end(),
+                         [](const SentAttempt& attempt) { return attempt.may_have_run; });
+    }
+  };
 
-  void restart() {
-    copy_.emplace(settings_, next());
-    live_.clear();
-    told_.clear();
-    apply(Started{});
-    list();
+  void restart_replica() {
+    replica_.emplace(settings_, random_.next());
+    requests_.clear();
+    listed_.clear();
+    handle(Started{});
+    update_endpoints();
   }
 
-  void apply(const Event& event) {
-    for (const Action& action : copy_->handle(now_, event)) {
-      if (const auto* send = std::get_if<SendAttempt>(&action)) sent(*send);
-      if (const auto* refuse = std::get_if<RejectRequest>(&action)) answered(refuse->id, true);
-      if (const auto* fail = std::get_if<FailRequest>(&action)) answered(fail->id, false);
+  void handle(const Event& event) {
+    for (const Action& action : replica_->handle(now_, event)) {
+      if (const auto* send = std::get_if<SendAttempt>(&action)) check_attempt(*send);
+      if (const auto* reject = std::get_if<RejectRequest>(&action)) check_final_response(reject->id, true);
+      if (const auto* fail = std::get_if<FailRequest>(&action)) check_final_response(fail->id, false);
       if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
-        ASSERT_LT(static_cast<std::size_t>(cancel->attempt), live_.at(cancel->id).sent.size());
+        ASSERT_LT(static_cast<std::size_t>(cancel->attempt), requests_.at(cancel->id).attempts.size());
       }
     }
   }
 
-  void sent(const SendAttempt& send) {
-    ++sends_;
-    ASSERT_TRUE(live_.contains(send.id));
-    Live& r = live_.at(send.id);
-    EXPECT_FALSE(r.finished) << "nothing is sent for what is finished";
-    ASSERT_TRUE(told_.contains(send.endpoint));
-    const Endpoint& to = told_.at(send.endpoint);
-    EXPECT_EQ(to.state, EndpointState::kReady) << "drains are kept";
+  void check_attempt(const SendAttempt& send) {
+    ++attempts_;
+    ASSERT_TRUE(requests_.contains(send.id));
+    PendingRequest& request = requests_.at(send.id);
+    EXPECT_FALSE(request.finished) << "an attempt of a finished request";
+    ASSERT_TRUE(listed_.contains(send.endpoint));
+    const Endpoint& endpoint = listed_.at(send.endpoint);
+    EXPECT_EQ(endpoint.state, EndpointState::kReady) << "an attempt at a draining or removed endpoint";
     EXPECT_GT(send.timeout, 0);
-    EXPECT_LE(now_ + send.timeout, r.until + 1e-9);
-    EXPECT_LT(r.sent.size(), static_cast<std::size_t>(settings_.max_attempts));
-    for (const Sent& s : r.sent) {
-      EXPECT_FALSE(s.open) << "two attempts at once";
-      if (!s.ran || effect_ == Idempotency::kIdempotent) continue;
-      EXPECT_NE(effect_, Idempotency::kNotIdempotent) << "an unsafe request that may have run was sent again";
-      EXPECT_LE(now_, s.at + settings_.classes[0].dedup_window);
-      const Endpoint& before = known_.at(s.endpoint);
-      if (scope_ == DedupScope::kZone) {
-        EXPECT_EQ(before.zone, to.zone);
-      }
-      if (scope_ == DedupScope::kCell) {
-        EXPECT_EQ(before.cell, to.cell);
-      }
+    EXPECT_LE(now_ + send.timeout, request.deadline + 1e-9);
+    EXPECT_LT(request.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
+    for (const SentAttempt& earlier : request.attempts) check_retry(earlier, endpoint);
+    request.attempts.push_back({send.endpoint, now_, send.timeout, true, true});
+  }
+
+  void check_retry(const SentAttempt& earlier, const Endpoint& endpoint) {
+    EXPECT_FALSE(earlier.open) << "two attempts at once";
+    if (!earlier.may_have_run || kind_.idempotency == Idempotency::kIdempotent) return;
+    EXPECT_NE(kind_.idempotency, Idempotency::kNotIdempotent)
+        << "a request that is not idempotent was retried though it may have run";
+    EXPECT_LE(now_, earlier.sent_at + settings_.classes[0].dedup_window);
+    const Endpoint& earlier_endpoint = known_.at(earlier.endpoint);
+    if (kind_.scope == DedupScope::kZone) {
+      EXPECT_EQ(earlier_endpoint.zone, endpoint.zone);
+    }
+    if (kind_.scope == DedupScope::kCell) {
+      EXPECT_EQ(earlier_endpoint.cell, endpoint.cell);
     }
-    r.sent.push_back({send.endpoint, now_, send.timeout, true, true});
   }
 
-  void answered(const std::string& id, bool refused) {
-    ++finals_;
-    ASSERT_TRUE(live_.contains(id));
-    Live& r = live_.at(id);
-    EXPECT_FALSE(r.finished) << "a second final answer";
-    r.finished = true;
-    bool ran = false;
-    for (const Sent& s : r.sent) ran = ran || s.ran;
-    if (!refused || !ran || effect_ == Idempotency::kIdempotent) return;
-    EXPECT_TRUE(effect_ == Idempotency::kIdempotencyKey && scope_ == DedupScope::kAll)
-        << "refused though it may have run";
+  void check_final_response(const std::string& id, bool rejected) {
+    ++final_responses_;
+    ASSERT_TRUE(requests_.contains(id));
+    PendingRequest& request = requests_.at(id);
+    EXPECT_FALSE(request.finished) << "a second final response";
+    request.finished = true;
+    if (!rejected || !request.may_have_run() || kind_.idempotency == Idempotency::kIdempotent) return;
+    EXPECT_TRUE(kind_.idempotency == Idempotency::kIdempotencyKey && kind_.scope == DedupScope::kAll)
+        << "rejected though it may have run";
   }
 
-  void request() {
-    Request r;
-    r.id = "r" + std::to_string(++ids_);
-    r.tenant = below(4);
-    const double lefts[] = {6, 2, 0.05, 0, -1};
-    r.time_left = lefts[below(20) == 0 ? below(5) : below(2)];
-    live_[r.id].until = now_ + r.time_left;
-    apply(r);
-    Live& after = live_.at(r.id);
-    EXPECT_TRUE(after.finished || !after.sent.empty()) << "a request neither sent nor answered";
-    if (!after.finished && below(30) == 0) {
-      EXPECT_TRUE(copy_->handle(now_, r).empty()) << "an id that comes twice";
+  void send_request() {
+    Request request;
+    request.id = "r" + std::to_string(++sent_requests_);
+    request.tenant = random_.below(4);
+    const double times_left[] = {6, 2, 0.05, 0, -1};
+    request.time_left = times_left[random_.below(20) == 0 ? random_.below(5) : random_.below(2)];
+    requests_[request.id].deadline = now_ + request.time_left;
+    handle(request);
+    const PendingRequest& pending = requests_.at(request.id);
+    EXPECT_TRUE(pending.finished || !pending.attempts.empty())
+        << "a request with neither an attempt nor a response";
+    if (!pending.finished && random_.below(30) == 0) {
+      EXPECT_TRUE(replica_->handle(now_, request).empty()) << "a repeated id";
     }
   }
 
-  // Ends a random open attempt, or one whose time is up.
-  void end(const std::string& id, std::size_t at, Outcome outcome) {
-    Live& r = live_.at(id);
-    Sent& s = r.sent[at];
-    s.open = false;
-    s.ran =
+  void end_attempt(const std::string& id, std::size_t number, Outcome outcome) {
+    PendingRequest& request = requests_.at(id);
+    SentAttempt& attempt = request.attempts[number];
+    attempt.open = false;
+    attempt.may_have_run =
         outcome != Outcome::kRejected && outcome != Outcome::kConnectFailed && outcome != Outcome::kNotSent;
-    const bool done = r.finished || outcome == Outcome::kSuccess;
-    r.finished = done;
-    const AttemptResult result{id, static_cast<int>(at), outcome, now_ - s.at, done};
-    apply(result);
-    const Live& after = live_.at(id);
-    bool open = false;
-    for (const Sent& each : after.sent) open = open || each.open;
-    EXPECT_TRUE(after.finished || open) << "a request left without an answer or an attempt";
-    if (below(20) == 0) {
-      EXPECT_TRUE(copy_->handle(now_, result).empty()) << "an outcome that comes twice";
+    request.finished = request.finished || outcome == Outcome::kSuccess;
+    const AttemptResult result{id, static_cast<int>(number), outcome, now_ - attempt.sent_at,
+                               request.finished};
+    handle(result);
+    const PendingRequest& after = requests_.at(id);
+    EXPECT_TRUE(after.finished || after.has_open_attempt()) << "a request with neither attempt nor response";
+    if (random_.below(20) == 0) {
+      EXPECT_TRUE(replica_->handle(now_, result).empty()) << "a repeated outcome";
     }
   }
 
-  void outcome() {
-    if (live_.empty()) return;
-    auto it = live_.begin();
-    std::advance(it, static_cast<std::ptrdiff_t>(below(live_.size())));
-    const auto [id, r] = *it;
-    for (std::size_t i = 0; i < r.sent.size(); ++i) {
-      if (!r.sent[i].open) continue;
-      const std::size_t draw = below(16);
-      end(id, i, draw < 9 ? static_cast<Outcome>(draw) : Outcome::kSuccess);
-      return;
+  void end_random_attempt() {
+    if (requests_.empty()) return;
+    auto entry = requests_.begin();
+    std::advance(entry, static_cast<std::ptrdiff_t>(random_.below(requests_.size())));
+    const auto& [id, request] = *entry;
+    const auto open = std::find_if(request.attempts.begin(), request.attempts.end(),
+                                   [](const SentAttempt& attempt) { return attempt.open; });
+    if (open != request.attempts.end()) {
+      const std::size_t draw = random_.below(16);
+      const auto number = static_cast<std::size_t>(open - request.attempts.begin());
+      end_attempt(id, number, draw < 9 ? static_cast<Outcome>(draw) : Outcome::kSuccess);
+    } else if (request.finished) {
+      requests_.erase(entry);
     }
-    if (r.finished) live_.erase(it);
   }
 
-  // Attempts end at their time-out; none may be out, and none unanswered, after the client's time.
-  void check_deadlines() {
-    std::vector<std::pair<std::string, std::size_t>> due;
-    for (const auto& [id, r] : live_) {
-      for (std::size_t i = 0; i < r.sent.size(); ++i) {
-        if (r.sent[i].open && r.sent[i].at + r.sent[i].timeout <= now_) due.emplace_back(id, i);
+  // Attempts end at their timeout; none may be open, and no request without a response, after the deadline.
+  void end_overdue_attempts() {
+    std::vector<std::pair<std::string, std::size_t>> overdue;
+    for (const auto& [id, request] : requests_) {
+      for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        const SentAttempt& attempt = request.attempts[i];
+        if (attempt.open && attempt.sent_at + attempt.timeout <= now_) overdue.emplace_back(id, i);
       }
     }
-    const double later = now_;
-    for (const auto& [id, i] : due) {
-      const Sent& s = live_.at(id).sent[i];
-      now_ = std::max(copy_->now, s.at + s.timeout);
-      end(id, i, Outcome::kTimedOut);
+    const double step_time = now_;
+    for (const auto& [id, number] : overdue) {
+      const SentAttempt& attempt = requests_.at(id).attempts[number];
+      now_ = std::max(replica_->now, attempt.sent_at + attempt.timeout);
+      end_attempt(id, number, Outcome::kTimedOut);
     }
-    now_ = later;
-    for (const auto& [id, r] : live_)
-      EXPECT_TRUE(r.finished || r.until + 0.15 >= now_) << id << " is overdue";
+    now_ = step_time;
+    for (const auto& [id, request] : requests_)
+      EXPECT_TRUE(request.finished || request.deadline + kResponseGrace >= now_) << id << " is overdue";
+  }
+
+  void abort_random_request() {
+    const std::string id = "r" + std::to_string(1 + random_.below(sent_requests_ + 1));
+    const auto request = requests_.find(id);
+    if (request != requests_.end()) request->second.finished = true;
+    handle(RequestAborted{id});
   }
 
-  void leave() {
-    const std::string id = "r" + std::to_string(1 + below(ids_ + 1));
-    const auto it = live_.find(id);
-    if (it != live_.end()) it->second.finished = true;
-    apply(RequestAborted{id});
+  Endpoint random_endpoint() {
+    const int number = static_cast<int>(random_.below(kEndpoints));
+    Endpoint endpoint = make_endpoint(number, number % 2, number / 3);
+    endpoint.weight = random_.below(10) == 0 ? 0 : 0.5 + static_cast<double>(random_.below(4));
+    endpoint.started_at = random_.below(3) == 0 ? now_ - 0.1 : 0;
+    const std::size_t state = random_.below(10);
+    endpoint.state = state == 0   ? EndpointState::kDraining
+                     : state == 1 ? EndpointState::kRemoved
+                                  : EndpointState::kReady;
+    return endpoint;
   }
 
-  void list() {
+  void update_endpoints() {
     EndpointUpdate update;
-    const std::size_t draw = below(12);
-    update.form = draw == 0  ? EndpointUpdate::Form::kWatchFailed
-                  : draw < 4 ? EndpointUpdate::Form::kSnapshot
+    const std::size_t form = random_.below(12);
+    update.form = form == 0  ? EndpointUpdate::Form::kWatchFailed
+                  : form < 4 ? EndpointUpdate::Form::kSnapshot
                              : EndpointUpdate::Form::kIncremental;
-    const std::size_t count = draw == 0 || below(25) == 0 ? 0 : 1 + below(draw < 4 ? 14 : 3);
-    for (std::size_t i = 0; i < count; ++i) {
-      const int n = static_cast<int>(below(14));
-      Endpoint s = make_endpoint(n, n % 2, n / 3);
-      s.weight = below(10) == 0 ? 0 : 0.5 + static_cast<double>(below(4));
-      s.started_at = below(3) == 0 ? now_ - 0.1 : 0;
-      const std::size_t state = below(10);
-      s.state = state == 0   ? EndpointState::kDraining
-                : state == 1 ? EndpointState::kRemoved
-                             : EndpointState::kReady;
-      update.endpoints.push_back(s);
-    }
+    const bool empty = form == 0 || random_.below(25) == 0;
+    const std::size_t count = empty ? 0 : 1 + random_.below(form < 4 ? kEndpoints : 3);
+    for (std::size_t i = 0; i < count; ++i) update.endpoints.push_back(random_endpoint());
     if (update.form == EndpointUpdate::Form::kSnapshot) {
-      for (auto& [address, s] : told_) s.state = EndpointState::kRemoved;
+      for (auto& [address, endpoint] : listed_) endpoint.state = EndpointState::kRemoved;
     }
-    for (const Endpoint& s : update.endpoints) known_[s.address] = told_[s.address] = s;
-    apply(update);
+    for (const Endpoint& endpoint : update.endpoints) {
+      listed_[endpoint.address] = endpoint;
+      known_[endpoint.address] = endpoint;
+    }
+    handle(update);
   }
 
-  std::uint64_t state_;
-  Idempotency effect_;
-  DedupScope scope_;
+  LinearCongruentialRandom random_;
+  IdempotencyKind kind_;
   Settings settings_;
-  std::optional<TestReplica> copy_;
+  std::optional<TestReplica> replica_;
   double now_ = 1000;
-  std::size_t ids_ = 0;
-  std::map<std::string, Live> live_;
-  std::map<std::string, Endpoint> told_, known_;
-  int sends_ = 0, finals_ = 0;
+  std::size_t sent_requests_ = 0;
+  std::map<std::string, PendingRequest> requests_;
+  std::map<std::string, Endpoint> listed_;  // what the present replica has been notified of
+  std::map<std::string, Endpoint> known_;   // what any replica has been notified of
+  int attempts_ = 0;
+  int final_responses_ = 0;
 };
 
 TEST(RandomWalk, InvariantsHold) {
-  const std::pair<Idempotency, DedupScope> kinds[] = {{Idempotency::kIdempotent, DedupScope::kAll},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kAll},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kZone},
-                                                      {Idempotency::kIdempotencyKey, DedupScope::kCell},
-                                                      {Idempotency::kNotIdempotent, DedupScope::kAll}};
-  for (const auto& [effect, scope] : kinds) {
-    int sends = 0;
-    int finals = 0;
+  const IdempotencyKind kinds[] = {{Idempotency::kIdempotent, DedupScope::kAll},
+                                   {Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                   {Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                   {Idempotency::kIdempotencyKey, DedupScope::kCell},
+                                   {Idempotency::kNotIdempotent, DedupScope::kAll}};
+  for (const IdempotencyKind& kind : kinds) {
+    int attempts = 0;
+    int final_responses = 0;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-      Walk walk(seed, effect, scope, seed % 2 == 0);
+      RandomWalk walk(seed, kind, seed % 2 == 0);
       for (int i = 0; i < 2000; ++i) walk.step();
-      sends += walk.sends();
-      finals += walk.finals();
-      if (HasFailure())
-        FAIL() << "seed " << seed << ", kind " << static_cast<int>(effect) << "/" << static_cast<int>(scope);
+      attempts += walk.attempts();
+      final_responses += walk.final_responses();
+      if (HasFailure()) {
+        FAIL() << "seed " << seed << ", idempotency " << static_cast<int>(kind.idempotency) << ", scope "
+               << static_cast<int>(kind.scope);
+      }
     }
-    EXPECT_GT(sends, 5000);
-    EXPECT_GT(finals, 1000);
+    EXPECT_GT(attempts, 5000);
+    EXPECT_GT(final_responses, 1000);
   }
 }
 
