--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -1,9 +1,10 @@
-// The adapter as a program: a conversation, bad lines, and one process against three.
+// The simulator adapter as a program: a conversation, invalid lines, and one process compared with three.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
 #include <cstdio>
+#include <cstdlib>
 #include <fstream>
 #include <sstream>
 #include <string>
@@ -11,37 +12,44 @@
 
 namespace {
 
-struct Ran {
-  std::vector<std::string> lines;
+struct AdapterResult {
+  std::vector<std::string> lines;  // of its standard output
   std::string errors;
-  int code = 0;
+  int exit_code = 0;
 };
 
-std::string slurp(const std::string& path) {
-  std::ifstream in(path);
-  std::stringstream out;
-  out << in.rdbuf();
-  return out.str();
+std::string read_file(const std::string& path) {
+  std::ifstream file(path);
+  std::stringstream text;
+  text << file.rdbuf();
+  return text.str();
+}
+
+std::vector<std::string> split_lines(const std::string& text) {
+  std::istringstream stream(text);
+  std::vector<std::string> lines;
+  for (std::string line; std::getline(stream, line);) lines.push_back(line);
+  return lines;
 }
 
-Ran run(const std::vector<std::string>& lines) {
-  const std::string base = testing::TempDir() + "/simulator_adapter_" + std::to_string(getpid());
+// Runs the adapter with these lines as its standard input.
+AdapterResult run_adapter(const std::vector<std::string>& lines) {
+  const std::string path = testing::TempDir() + "/simulator_adapter_" + std::to_string(getpid());
   {
-    std::ofstream in(base + ".in");
-    for (const std::string& line : lines) in << line << '\n';
+    std::ofstream input(path + ".in");
+    for (const std::string& line : lines) input << line << '\n';
   }
   const std::string command =
-      std::string(SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
-  Ran out;
-  out.code = WEXITSTATUS(std::system(command.c_str()));
-  std::istringstream answers(slurp(base + ".out"));
-  for (std::string line; std::getline(answers, line);) out.lines.push_back(line);
-  out.errors = slurp(base + ".err");
-  for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
-  return out;
+      std::string(SIMULATOR_ADAPTER) + " <" + path + ".in >" + path + ".out 2>" + path + ".err";
+  AdapterResult result;
+  result.exit_code = WEXITSTATUS(std::system(command.c_str()));
+  result.lines = split_lines(read_file(path + ".out"));
+  result.errors = read_file(path + ".err");
+  for (const char* suffix : {".in", ".out", ".err"}) std::remove((path + suffix).c_str());
+  return result;
 }
 
-std::string config_text() {
+std::string configuration() {
   return R"({"peersTotal":1,"position":0,"stage":0,"zone":0,"granularity":0.005,"registryMode":"subscribe",)"
          R"("bounds":{"cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,)"
          R"("retryAfter":true,"secondCopies":false},)"
@@ -49,26 +57,31 @@
          R"("rules":{"askWithin":10.0,"startCapacity":0.2,"rampTime":9.0}})";
 }
 
+// A line with the events of some instances, each of which is an element of `nodes`.
 std::string batch(int turn, double clock, const std::string& nodes) {
   return R"({"clock":)" + std::to_string(clock) + R"(,"turn":)" + std::to_string(turn) + R"(,"nodes":[)" +
          nodes + "]}";
 }
 
-std::string open_node(int who, const std::string& more = "", const std::string& config = config_text()) {
-  return R"({"who":)" + std::to_string(who) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
-         std::to_string(who + 5) + R"(,"config":)" + config + R"(},)" +
+// The events that open an instance and notify it of two servers, and further ones.
+std::string open_instance(int instance, const std::string& further_events = "",
+                          const std::string& config = configuration()) {
+  return R"({"who":)" + std::to_string(instance) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
+         std::to_string(instance + 5) + R"(,"config":)" + config + R"(},)" +
          R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"10.0.0.1:80","mode":"Ready"},)"
          R"({"server":"10.0.0.2:80","mode":"Ready","pack":1,"units":2}]},)"
          R"({"kind":"DIRECTORY_UPDATE","rev":1,"sheet":3,"form":"C"})" +
-         more + "]}";
+         further_events + "]}";
 }
 
-bool has(const std::string& line, const std::string& part) { return line.find(part) != std::string::npos; }
+bool contains(const std::string& line, const std::string& part) {
+  return line.find(part) != std::string::npos;
+}
 
 TEST(SimulatorAdapter, AnswersEachBatch) {
-  const Ran r = run({
+  const AdapterResult result = run_adapter({
       batch(1, 1, ""),
-      batch(2, 1.5, open_node(4)),
+      batch(2, 1.5, open_instance(4)),
       batch(3, 2, R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
       batch(4, 2.1,
             R"({"who":4,"news":[{"kind":"DONE","txn":"a","server":"10.0.0.1:80",)"
@@ -76,89 +89,96 @@
       batch(5, 2.2,
             R"({"who":4,"news":[{"kind":"GONE","txn":"a"},{"kind":"FIRED","keyBack":77},{"kind":"NEW"}]})"),
   });
-  EXPECT_EQ(r.code, 0) << r.errors;
-  ASSERT_EQ(r.lines.size(), 5U);
-  EXPECT_EQ(r.lines[0], R"({"turn":1,"nodes":[]})");
-  EXPECT_EQ(r.lines[1], R"({"turn":2,"nodes":[{"who":4,"steps":[{"kind":"TAIL","want":true}]}]})");
-  EXPECT_TRUE(has(r.lines[2], R"("kind":"CALL_OUT","txn":"a","server":"10.0.0.)"));
-  EXPECT_EQ(r.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
-  EXPECT_EQ(r.lines[4], R"({"turn":5,"nodes":[]})");
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  ASSERT_EQ(result.lines.size(), 5U);
+  EXPECT_EQ(result.lines[0], R"({"turn":1,"nodes":[]})");
+  EXPECT_EQ(result.lines[1], R"({"turn":2,"nodes":[{"who":4,"steps":[{"kind":"TAIL","want":true}]}]})");
+  EXPECT_TRUE(contains(result.lines[2], R"("kind":"CALL_OUT","txn":"a","server":"10.0.0.)"));
+  EXPECT_EQ(result.lines[3], R"({"turn":4,"nodes":[{"who":4,"steps":[{"kind":"ERROR","txn":"a"}]}]})");
+  EXPECT_EQ(result.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
 TEST(SimulatorAdapter, InstanceRestartsWithinBatch) {
-  const std::string query = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
-  std::string node = open_node(1, query);
+  const std::string request_event = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
+  std::string node = open_instance(1, request_event);
   node.insert(node.find("{\"kind\":\"OPEN"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
-  const Ran r = run({batch(1, 1, open_node(1)), batch(2, 2, node)});
-  EXPECT_EQ(r.code, 0) << r.errors;
-  ASSERT_EQ(r.lines.size(), 2U);
-  EXPECT_FALSE(has(r.lines[1], "\"old\"")) << "what the stopped instance held is void";
-  EXPECT_TRUE(has(r.lines[1], R"("txn":"a")"));
+  const AdapterResult result = run_adapter({batch(1, 1, open_instance(1)), batch(2, 2, node)});
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  ASSERT_EQ(result.lines.size(), 2U);
+  EXPECT_FALSE(contains(result.lines[1], "\"old\"")) << "events before the stop are void";
+  EXPECT_TRUE(contains(result.lines[1], R"("txn":"a")"));
 }
 
 TEST(SimulatorAdapter, ReusedListNumberMeansLatestList) {
-  const Ran r = run(
-      {batch(1, 1, open_node(1)),
+  const AdapterResult result = run_adapter(
+      {batch(1, 1, open_instance(1)),
        batch(
            2, 2,
            R"({"who":1,"news":[{"kind":"TABLE","sheet":3,"nodesList":[{"server":"b:1","mode":"Ready"}]},)"
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},)"
            R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"c:1","mode":"Ready"}]},)"
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},{"kind":"QUERY","txn":"a","timeLeft":2}]})")});
-  ASSERT_EQ(r.lines.size(), 2U) << r.errors;
-  EXPECT_TRUE(has(r.lines[1], R"("server":"c:1")"));
+  ASSERT_EQ(result.lines.size(), 2U) << result.errors;
+  EXPECT_TRUE(contains(result.lines[1], R"("server":"c:1")"));
+}
+
+void expect_reported(const std::string& line, const std::string& turn, const std::string& reason) {
+  const AdapterResult result = run_adapter({line});
+  EXPECT_NE(result.exit_code, 0);
+  EXPECT_TRUE(result.lines.empty());
+  EXPECT_TRUE(contains(result.errors, "turn " + turn)) << result.errors;
+  EXPECT_TRUE(contains(result.errors, reason)) << result.errors;
+}
+
+// In turn 7, after the events that open an instance.
+void expect_event_reported(const std::string& event, const std::string& reason) {
+  expect_reported(batch(7, 1, open_instance(1, "," + event)), "7", reason);
 }
 
 TEST(SimulatorAdapter, InvalidLineIsReported) {
-  const auto fails = [](const std::string& line, const std::string& turn, const std::string& part) {
-    const Ran r = run({line});
-    EXPECT_NE(r.code, 0);
-    EXPECT_TRUE(r.lines.empty());
-    EXPECT_TRUE(has(r.errors, "turn " + turn)) << r.errors;
-    EXPECT_TRUE(has(r.errors, part)) << r.errors;
-  };
-  fails("{\"turn\":", "unknown", "not valid JSON");
-  fails("[1]", "unknown", "not an object");
-  fails(R"({"turn":7,"nodes":[]})", "7", "'clock'");
-  fails(R"({"turn":7,"clock":1})", "7", "'nodes'");
-  fails(batch(7, 1, R"({"news":[]})"), "7", "'who'");
-  fails(batch(7, 1, R"({"who":1,"news":[{"txn":"a"}]})"), "7", "'kind'");
-  fails(batch(7, 1, R"({"who":1,"news":[{"kind":"OPEN_INSTANCE","initSeed":1}]})"), "7", "'config'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","timeLeft":1})")), "7", "'txn'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","txn":"a"})")), "7", "'timeLeft'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"QUERY","txn":"a","timeLeft":1,"account":-1})")), "7",
-        "'account'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"DONE","txn":"a","try":"x","outcome":"delivered"})")), "7",
-        "'try'");
-  fails(batch(7, 1, open_node(1, R"(,{"kind":"DIRECTORY_UPDATE","form":"F","sheet":9})")), "7", "'sheet'");
+  expect_reported("{\"turn\":", "unknown", "not valid JSON");
+  expect_reported("[1]", "unknown", "not an object");
+  expect_reported(R"({"turn":7,"nodes":[]})", "7", "'clock'");
+  expect_reported(R"({"turn":7,"clock":1})", "7", "'nodes'");
+  expect_reported(batch(7, 1, R"({"news":[]})"), "7", "'who'");
+  expect_reported(batch(7, 1, R"({"who":1,"news":[{"txn":"a"}]})"), "7", "'kind'");
+  expect_reported(batch(7, 1, R"({"who":1,"news":[{"kind":"OPEN_INSTANCE","initSeed":1}]})"), "7",
+                  "'config'");
+  expect_event_reported(R"({"kind":"QUERY","timeLeft":1})", "'txn'");
+  expect_event_reported(R"({"kind":"QUERY","txn":"a"})", "'timeLeft'");
+  expect_event_reported(R"({"kind":"QUERY","txn":"a","timeLeft":1,"account":-1})", "'account'");
+  expect_event_reported(R"({"kind":"DONE","txn":"a","try":"x","outcome":"delivered"})", "'try'");
+  expect_event_reported(R"({"kind":"DIRECTORY_UPDATE","form":"F","sheet":9})", "'sheet'");
+}
+
+// Replaces a part of a valid configuration.
+void expect_panic(const std::string& part, const std::string& replacement, const std::string& reason) {
+  std::string config = configuration();
+  config.replace(config.find(part), part.size(), replacement);
+  const AdapterResult result = run_adapter({batch(1, 1, open_instance(2, "", config))});
+  EXPECT_EQ(result.exit_code, 0);
+  ASSERT_EQ(result.lines.size(), 1U);
+  EXPECT_TRUE(contains(result.lines[0], R"("kind":"PANIC")")) << result.lines[0];
+  EXPECT_TRUE(contains(result.lines[0], reason)) << result.lines[0];
 }
 
 TEST(SimulatorAdapter, PanicsOnInvalidSettings) {
-  const auto panics = [](const std::string& from, const std::string& to, const std::string& part) {
-    std::string config = config_text();
-    config.replace(config.find(from), from.size(), to);
-    const Ran r = run({batch(1, 1, open_node(2, "", config))});
-    EXPECT_EQ(r.code, 0);
-    ASSERT_EQ(r.lines.size(), 1U);
-    EXPECT_TRUE(has(r.lines[0], R"("kind":"PANIC")")) << r.lines[0];
-    EXPECT_TRUE(has(r.lines[0], part)) << r.lines[0];
-  };
-  panics(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
-  panics(R"("position":0)", R"("position":1)", "replica_index");
-  panics(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
-  panics(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
-}
-
-// Odd but legal: outcomes and report values of later wires, lists without entries, no time left, many
-// restarts.
+  expect_panic(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
+  expect_panic(R"("position":0)", R"("position":1)", "replica_index");
+  expect_panic(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
+  expect_panic(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
+}
+
+// Outcomes and report values of later versions of the protocol, lists without entries, requests without time
+// left, many restarts.
 TEST(SimulatorAdapter, AcceptsUnusualButValidLines) {
-  const std::string restart = open_node(4).substr(open_node(4).find("{\"kind\":\"OPEN"));
+  const std::string restart = open_instance(4).substr(open_instance(4).find("{\"kind\":\"OPEN"));
   std::string restarts;
   for (int i = 0; i < 20; ++i) restarts += restart.substr(0, restart.size() - 2) + ",";
-  const Ran r = run({
+  const AdapterResult result = run_adapter({
       batch(1, 1, R"({"who":4,"news":[)" + restarts + R"({"kind":"POWER_OFF"}]})"),
-      batch(2, 2, open_node(4)),
+      batch(2, 2, open_instance(4)),
       batch(3, 3,
             R"({"who":4,"news":[{"kind":"QUERY","txn":"a","timeLeft":2,"profile":99,"account":77},)"
             R"({"kind":"QUERY","txn":"b","timeLeft":0},{"kind":"QUERY","txn":"c","timeLeft":-1}]})"),
@@ -171,53 +191,59 @@
             R"({"who":4,"news":[{"kind":"TABLE","sheet":1,"nodesList":[]},)"
             R"({"kind":"DIRECTORY_UPDATE","sheet":1,"form":"F"},{"kind":"QUERY","txn":"d","timeLeft":2}]})"),
   });
-  EXPECT_EQ(r.code, 0) << r.errors;
-  ASSERT_EQ(r.lines.size(), 5U);
-  EXPECT_EQ(r.lines[0], R"({"turn":1,"nodes":[]})");
-  EXPECT_TRUE(has(r.lines[2], R"({"kind":"CALL_OUT","txn":"a")"));
-  EXPECT_TRUE(has(r.lines[2], R"({"kind":"SAY_NO","txn":"b")"));
-  EXPECT_TRUE(has(r.lines[2], R"({"kind":"SAY_NO","txn":"c")"));
-  EXPECT_TRUE(has(r.lines[3], R"({"kind":"ERROR","txn":"a")")) << "an unknown end may have run";
-  EXPECT_TRUE(has(r.lines[4], R"({"kind":"SAY_NO","txn":"d")"));
+  EXPECT_EQ(result.exit_code, 0) << result.errors;
+  ASSERT_EQ(result.lines.size(), 5U);
+  EXPECT_EQ(result.lines[0], R"({"turn":1,"nodes":[]})");
+  EXPECT_TRUE(contains(result.lines[2], R"({"kind":"CALL_OUT","txn":"a")"));
+  EXPECT_TRUE(contains(result.lines[2], R"({"kind":"SAY_NO","txn":"b")"));
+  EXPECT_TRUE(contains(result.lines[2], R"({"kind":"SAY_NO","txn":"c")"));
+  EXPECT_TRUE(contains(result.lines[3], R"({"kind":"ERROR","txn":"a")"))
+      << "an attempt with an unknown outcome may have run";
+  EXPECT_TRUE(contains(result.lines[4], R"({"kind":"SAY_NO","txn":"d")"));
 }
 
-// Sharing nothing: the actions of an instance do not depend on who else lives in its process.
-TEST(SimulatorAdapter, InstancesInOneProcessAreIndependent) {
-  const auto lines_for = [](const std::vector<int>& whos) {
-    std::vector<std::string> lines;
-    std::string nodes;
-    for (const int who : whos) nodes.append(nodes.empty() ? "" : ",").append(open_node(who));
-    lines.push_back(batch(1, 1, nodes));
-    for (int turn = 2; turn < 60; ++turn) {
-      nodes.clear();
-      for (const int who : whos) {
-        const std::string id = std::to_string(who).append("-").append(std::to_string(turn));
-        const std::string old = std::to_string(who).append("-").append(std::to_string(turn - 2));
-        nodes += (nodes.empty() ? "" : ",");
-        nodes.append(R"({"who":)").append(std::to_string(who));
-        nodes.append(R"(,"news":[{"kind":"QUERY","txn":")").append(id);
-        nodes.append(R"(","timeLeft":2},{"kind":"DONE","txn":")").append(old).append(R"(","outcome":")");
-        nodes.append(turn % 3 == 0 ? "shed" : "app_error").append(R"(","lag":0.2}]})");
-      }
-      lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
+// The batches of these instances; each sends a request in each turn and ends that of two turns before.
+std::vector<std::string> batches_of(const std::vector<int>& instances) {
+  std::vector<std::string> lines;
+  std::string nodes;
+  for (const int instance : instances) nodes.append(nodes.empty() ? "" : ",").append(open_instance(instance));
+  lines.push_back(batch(1, 1, nodes));
+  for (int turn = 2; turn < 60; ++turn) {
+    nodes.clear();
+    for (const int instance : instances) {
+      const std::string prefix = std::to_string(instance).append("-");
+      const std::string request = prefix + std::to_string(turn);
+      const std::string earlier_request = prefix + std::to_string(turn - 2);
+      nodes.append(nodes.empty() ? "" : ",");
+      nodes.append(R"({"who":)").append(std::to_string(instance));
+      nodes.append(R"(,"news":[{"kind":"QUERY","txn":")").append(request);
+      nodes.append(R"(","timeLeft":2},{"kind":"DONE","txn":")").append(earlier_request);
+      nodes.append(R"(","outcome":")").append(turn % 3 == 0 ? "shed" : "app_error");
+      nodes.append(R"(","lag":0.2}]})");
     }
-    return lines;
-  };
-  const Ran together = run(lines_for({0, 1, 2}));
-  ASSERT_EQ(together.code, 0) << together.errors;
-  std::vector<Ran> apart;
-  for (const int who : {0, 1, 2}) apart.push_back(run(lines_for({who})));
+    lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
+  }
+  return lines;
+}
+
+// What stands between the brackets of "nodes" in a line of output.
+std::string nodes_of(const std::string& line) {
+  const std::size_t begin = line.find('[') + 1;
+  return line.substr(begin, line.rfind(']') - begin);
+}
+
+TEST(SimulatorAdapter, InstancesInOneProcessAreIndependent) {
+  const AdapterResult together = run_adapter(batches_of({0, 1, 2}));
+  ASSERT_EQ(together.exit_code, 0) << together.errors;
+  std::vector<AdapterResult> separate;
+  for (const int instance : {0, 1, 2}) separate.push_back(run_adapter(batches_of({instance})));
   for (std::size_t i = 0; i < together.lines.size(); ++i) {
     std::string joined;
-    for (const Ran& one : apart) {
-      const std::string& line = one.lines.at(i);
-      const std::size_t start = line.find('[') + 1;
-      const std::string inner = line.substr(start, line.rfind(']') - start);
-      if (!inner.empty()) joined += (joined.empty() ? "" : ",") + inner;
+    for (const AdapterResult& result : separate) {
+      const std::string nodes = nodes_of(result.lines.at(i));
+      if (!nodes.empty()) joined += (joined.empty() ? "" : ",") + nodes;
     }
-    const std::string& line = together.lines[i];
-    const std::size_t start = line.find('[') + 1;
-    EXPECT_EQ(line.substr(start, line.rfind(']') - start), joined);
+    EXPECT_EQ(nodes_of(together.lines[i]), joined);
   }
 }
 
