--- a/tests/node/client_departure_test.cpp
+++ b/tests/node/client_departure_test.cpp
@@ -1,168 +1,156 @@
-// Clients that leave before, while and after their requests are forwarded.
-#include <thread>
-#include <vector>
+// Clients that depart before, while and after their requests are forwarded.
+#include <chrono>
+#include <string>
+#include <utility>
 
-#include "support/late_server.h"
-#include "support/node_fixture.h"
+#include "support/long_timeout_fixture.h"
+#include "support/slow_accepting_server.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
+using namespace std::chrono_literals;
+
 TEST(ClientDeparture, AClientThatLeavesWhileItsConnectionComesUpIsNotSentOn) {
   for (const bool may_cancel : {false, true}) {
-    for (const bool reset : {false, true}) {
-      const LateServer late;
-      PatientNodeFixture w;
-      w.may_cancel = may_cancel;
-      w.serve(host("s0", late.port()));
-      TestSocket caller = w.client();
-      caller.send(request("close"));
-      until([&] { return connecting_to(late.port()); });
-      leave(caller, reset);
-      until([&] { return !connecting_to(late.port()); });
-      EXPECT_EQ(w.metric("upstream_requests"), 0) << may_cancel << kClosesOrResets[reset];
-      EXPECT_EQ(w.metric("pending"), 0);
+    for (const Departure departure : kCloseAndReset) {
+      const SlowAcceptingServer slow_server;
+      LongTimeoutFixture fixture;
+      fixture.config.may_cancel = may_cancel;
+      TestSocket client = fixture.start_with_waiting_request(slow_server);
+      depart(client, departure);
+      wait_until([&] { return !connection_attempt_to(slow_server.port()); });
+      EXPECT_EQ(fixture.metric("upstream_requests"), 0) << may_cancel << name_of(departure);
+      EXPECT_EQ(fixture.metric("pending"), 0);
     }
   }
 }
 
 TEST(ClientDeparture, EarlyBytesOfANextRequestDoNotHideThatAClientLeaves) {
-  for (const std::size_t early : {std::size_t{100}, std::size_t{20000}, std::size_t{500000}}) {
-    for (const bool reset : {false, true}) {
-      const LateServer late;
-      PatientNodeFixture w;
-      w.may_cancel = false;
-      w.serve(host("s0", late.port()));
-      TestSocket caller = w.client();
-      caller.send(request("close"));
-      until([&] { return connecting_to(late.port()); });
-      caller.push(std::string(early, 'x'));
-      leave(caller, reset);
-      until([&] { return !connecting_to(late.port()); });
-      EXPECT_EQ(w.metric("upstream_requests"), 0) << early << kClosesOrResets[reset];
+  for (const std::size_t pipelined_bytes : {std::size_t{100}, std::size_t{20000}, std::size_t{500000}}) {
+    for (const Departure departure : kCloseAndReset) {
+      const SlowAcceptingServer slow_server;
+      LongTimeoutFixture fixture;
+      fixture.config.may_cancel = false;
+      TestSocket client = fixture.start_with_waiting_request(slow_server);
+      client.send_available(std::string(pipelined_bytes, 'x'));
+      depart(client, departure);
+      wait_until([&] { return !connection_attempt_to(slow_server.port()); });
+      EXPECT_EQ(fixture.metric("upstream_requests"), 0) << pipelined_bytes << name_of(departure);
     }
   }
 }
 
-// What is kept of a next request is served; what is more than can be kept ends the connection, with the
-// answer.
+// A pipelined request is buffered and served. More bytes than the buffer takes end the connection after the
+// response.
 TEST(ClientDeparture, EarlyBytesAreKeptWhereTheyMayBeARequest) {
-  PatientNodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close", "", "one"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  const std::string large(60000, 'y');
-  caller.send(request("close", "", large, "r2"));
-  server.send(ok("first"));
-  EXPECT_TRUE(has(caller.message(), "\r\n\r\nfirst"));
-  EXPECT_TRUE(server.message().ends_with("\r\n\r\n" + large));
-  EXPECT_EQ(caller.push(std::string(500000, 'x')), 500000U);
-  until([&] { return all_read_from(caller.local_port()); });
-  server.send(ok("second"));
-  const std::string last = caller.message();
-  EXPECT_TRUE(has(last, "Connection: close\r\n") && last.ends_with("second")) << last;
-  EXPECT_TRUE(caller.ended());
-  EXPECT_EQ(w.metric("upstream_requests"), 2);
+  LongTimeoutFixture fixture;
+  auto [client, server] = fixture.start_with_forwarded_request(request("close", "", "one"));
+  const std::string large_body(60000, 'y');
+  client.send(request("close", "", large_body, "r2"));
+  server.send(ok_response("first"));
+  EXPECT_TRUE(contains(client.read_message(), "\r\n\r\nfirst"));
+  EXPECT_TRUE(server.read_message().ends_with("\r\n\r\n" + large_body));
+  EXPECT_EQ(client.send_available(std::string(500000, 'x')), 500000U);
+  wait_until([port = client.local_port()] { return all_read_from(port); });
+  server.send(ok_response("second"));
+  const std::string response = client.read_message();
+  EXPECT_TRUE(contains(response, "Connection: close\r\n") && response.ends_with("second")) << response;
+  EXPECT_TRUE(client.closed_by_peer());
+  EXPECT_EQ(fixture.metric("upstream_requests"), 2);
 }
 
-// The request waits in the machine's queue, or unread on a connection that is open.
+// The request is in the system's accept queue, or unread on a connection that the node has accepted.
 TEST(ClientDeparture, AClientThatLeavesBeforeItIsReadIsNotSentOn) {
-  for (const bool kept : {false, true}) {
-    for (const std::size_t early : {std::size_t{0}, std::size_t{40000}}) {
-      PatientNodeFixture w;
-      w.serve(host("s0", w.servers[0].port()));
-      TestSocket caller = w.client(), next = w.client();
-      if (kept) {
-        caller.send("GET /healthz HTTP/1.1\r\n\r\n");
-        caller.message();
+  for (const bool is_accepted : {false, true}) {
+    for (const std::size_t pipelined_bytes : {std::size_t{0}, std::size_t{40000}}) {
+      LongTimeoutFixture fixture;
+      fixture.start_with_one_server();
+      TestSocket departing = fixture.connect_client(), staying = fixture.connect_client();
+      if (is_accepted) {
+        departing.send("GET /healthz HTTP/1.1\r\n\r\n");
+        departing.read_message();
       }
-      w.node->stop();
-      if (!kept) caller = w.client();
-      caller.send(request("close", "", "question", "left") + std::string(early, 'x'));
-      caller.close();
-      next.send(request("close", "", "question", "there"));
-      w.node->go_on();
-      TestSocket server = w.servers[0].accept();
-      EXPECT_TRUE(has(server.message(), "Request-Id: there\r\n"));
-      server.send(ok());
-      EXPECT_TRUE(has(next.message(), " 200 "));
-      until([&] { return w.metric("pending") == 0; });
-      EXPECT_EQ(w.metric("upstream_requests"), 1) << kept << early;
+      fixture.node->suspend();
+      if (!is_accepted) departing = fixture.connect_client();
+      departing.send(request_with_id("close", "left") + std::string(pipelined_bytes, 'x'));
+      departing.close();
+      staying.send(request_with_id("close", "there"));
+      fixture.node->resume();
+      TestSocket server = fixture.servers[0].accept();
+      EXPECT_TRUE(contains(server.read_message(), "Request-Id: there\r\n"));
+      server.send(ok_response());
+      EXPECT_TRUE(contains(staying.read_message(), " 200 "));
+      wait_until([&] { return fixture.metric("pending") == 0; });
+      EXPECT_EQ(fixture.metric("upstream_requests"), 1) << is_accepted << pipelined_bytes;
     }
   }
 }
 
-// Its server takes no bytes, so that its end waits unread behind what the client had still sent.
+// The server reads nothing, so that the client's end of the connection is unread behind the upload.
 TEST(ClientDeparture, AnUploadWhoseClientHasLeftIsNotSentOnWhole) {
   for (const bool may_cancel : {false, true}) {
-    PatientNodeFixture w;
-    w.may_cancel = may_cancel;
-    w.serve(host("s0", w.servers[0].port()));
-    TestSocket caller = w.client();
-    caller.send(head("close") + "Transfer-Encoding: chunked\r\n\r\n");
-    const std::size_t rest = fill(caller);
-    TestSocket server = w.servers[0].accept();
-    std::string end = chunk(std::string(8000, 'u'));
-    end = end.substr(end.size() - rest) + "0\r\n\r\n";
-    while (!end.empty()) {
-      server.bytes(100000);
-      end.erase(0, caller.push(end));
+    LongTimeoutFixture fixture;
+    fixture.config.may_cancel = may_cancel;
+    fixture.start_with_one_server();
+    TestSocket client = fixture.connect_client();
+    client.send(request_head("close") + "Transfer-Encoding: chunked\r\n\r\n");
+    const std::size_t unsent = send_chunks_until_full(client);
+    TestSocket server = fixture.servers[0].accept();
+    std::string last_chunks = chunk(std::string(8000, 'u'));
+    last_chunks = last_chunks.substr(last_chunks.size() - unsent) + "0\r\n\r\n";
+    while (!last_chunks.empty()) {
+      server.read_bytes(100000);
+      last_chunks.erase(0, client.send_available(last_chunks));
     }
-    w.node->stop();
-    caller.close();
-    w.node->go_on();
-    std::string all;
-    for (std::string more; !(more = server.bytes(100000)).empty();) all += more;
-    EXPECT_FALSE(all.ends_with("0\r\n\r\n")) << may_cancel;
-    until([&] { return w.metric("pending") == 0; });
-    EXPECT_EQ(w.metric("upstream_requests"), 0);
+    fixture.node->suspend();
+    client.close();
+    fixture.node->resume();
+    std::string received;
+    for (std::string bytes; !(bytes = server.read_bytes(100000)).empty();) received += bytes;
+    EXPECT_FALSE(received.ends_with("0\r\n\r\n")) << may_cancel;
+    wait_until([&] { return fixture.metric("pending") == 0; });
+    EXPECT_EQ(fixture.metric("upstream_requests"), 0);
   }
 }
 
-// It is noticed although nothing is read from it.
+// The node sees the end of the connection although it reads nothing from it.
 TEST(ClientDeparture, AnUploadThatIsHeldBackFreesItsServerWhenItsClientLeaves) {
-  for (const bool reset : {false, true}) {
-    const LateServer late;
-    PatientNodeFixture w;
-    w.may_cancel = false;
-    w.serve(host("s0", late.port()));
-    TestSocket caller = w.client();
-    // More than the node takes, and little enough that the client's end comes in behind it.
-    caller.send(head("close") + "Content-Length: 1000000\r\n\r\n" + std::string(175000, 'u'));
-    until([&] { return connecting_to(late.port()); });
-    leave(caller, reset);
-    until([&] { return !connecting_to(late.port()); });
-    EXPECT_EQ(w.metric("upstream_requests"), 0) << kClosesOrResets[reset];
+  for (const Departure departure : kCloseAndReset) {
+    const SlowAcceptingServer slow_server;
+    LongTimeoutFixture fixture;
+    fixture.config.may_cancel = false;
+    // More than the node reads, and little enough that the client's end arrives behind it.
+    TestSocket client = fixture.start_with_waiting_request(
+        slow_server, request_head("close") + "Content-Length: 1000000\r\n\r\n" + std::string(175000, 'u'));
+    depart(client, departure);
+    wait_until([&] { return !connection_attempt_to(slow_server.port()); });
+    EXPECT_EQ(fixture.metric("upstream_requests"), 0) << name_of(departure);
   }
 }
 
-// What has been written whole is with its server: given up where that is allowed, and left alone where not.
+// A request that has been sent completely is cancelled only where that is allowed.
 TEST(ClientDeparture, WhatIsWithItsServerIsWithdrawnOnlyWhereThatIsAllowed) {
   for (const bool may_cancel : {false, true}) {
-    PatientNodeFixture w;
-    w.may_cancel = may_cancel;
-    w.serve(host("s0", w.servers[0].port()));
-    TestSocket caller = w.client();
-    caller.send(request("close"));
-    TestSocket server = w.servers[0].accept();
-    server.message();
-    caller.close();
-    until([&] { return w.metric("pending") == 0; });
+    LongTimeoutFixture fixture;
+    fixture.config.may_cancel = may_cancel;
+    auto [client, server] = fixture.start_with_forwarded_request();
+    client.close();
+    wait_until([&] { return fixture.metric("pending") == 0; });
     if (may_cancel) {
-      EXPECT_TRUE(server.ended());
+      EXPECT_TRUE(server.closed_by_peer());
       continue;
     }
-    EXPECT_TRUE(server.quiet());
-    server.send(ok());  // its late answer is nobody's, and its connection serves the next
-    TestSocket next = w.client();
-    next.send(request("close", "", "next", "r2"));
-    TestSocket again = server.quiet(200) ? w.servers[0].accept() : std::move(server);
-    EXPECT_TRUE(has(again.message(), "\r\n\r\nnext"));
-    again.send(ok("own"));
-    EXPECT_TRUE(has(next.message(), "\r\n\r\nown"));
+    EXPECT_TRUE(server.is_idle());
+    server.send(ok_response());  // has no client any more; the connection serves the next request
+    TestSocket next_client = fixture.connect_client();
+    next_client.send(request("close", "", "next", "r2"));
+    TestSocket next_server = server.is_idle(200ms) ? fixture.servers[0].accept() : std::move(server);
+    EXPECT_TRUE(contains(next_server.read_message(), "\r\n\r\nnext"));
+    next_server.send(ok_response("own"));
+    EXPECT_TRUE(contains(next_client.read_message(), "\r\n\r\nown"));
   }
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/client_request_test.cpp
+++ b/tests/node/client_request_test.cpp
@@ -1,5 +1,6 @@
 // Clients' requests: deadlines, pipelining and what is rejected.
-#include <sstream>
+#include <string>
+#include <utility>
 #include <vector>
 
 #include "support/node_fixture.h"
@@ -8,116 +9,112 @@
 namespace {
 
 TEST(ClientRequest, AnswersBeforeTheClientsTimeIsUp) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  const double from = seconds();
-  caller.send(request("close", "Request-Timeout-Ms: 700\r\n"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  EXPECT_TRUE(has(caller.message(), "HTTP/1.1 50")) << "failed, not cut off";
-  EXPECT_LT(seconds() - from, 1.2) << "0.7 and what a busy machine adds";
-  EXPECT_TRUE(server.ended()) << "the attempt is given up";
-  EXPECT_TRUE(caller.quiet()) << "one final answer";
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  TestSocket client = fixture.connect_client();
+  const Stopwatch stopwatch;
+  TestSocket server = fixture.forward(client, request("close", "Request-Timeout-Ms: 700\r\n"));
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 50")) << "failed, not cut off";
+  EXPECT_LT(stopwatch.seconds(), 1.2) << "0.7 s, and more on a busy machine";
+  EXPECT_TRUE(server.closed_by_peer()) << "the attempt is cancelled";
+  EXPECT_TRUE(client.is_idle()) << "one final response";
 }
 
 TEST(ClientRequest, NoticesAClientThatLeaves) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  caller.close();
-  const double from = seconds();
-  EXPECT_TRUE(server.ended());
-  EXPECT_LT(seconds() - from, 1.9) << "long before the attempt's time-out";
+  NodeFixture fixture;
+  auto [client, server] = fixture.start_with_forwarded_request();
+  client.close();
+  const Stopwatch stopwatch;
+  EXPECT_TRUE(server.closed_by_peer());
+  EXPECT_LT(stopwatch.seconds(), 1.9) << "long before the attempt's timeout";
 }
 
 TEST(ClientRequest, KeepsTheNextRequestsEarlyBytes) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("mark", "", "one"));
-  TestSocket server = w.servers[0].accept();
-  EXPECT_TRUE(has(server.message(), "\r\n\r\none"));
-  caller.send(request("mark", "", "two"));
-  server.send(ok("first"));
-  EXPECT_TRUE(has(server.message(), "\r\n\r\ntwo"));
-  server.send(ok("second"));
-  EXPECT_TRUE(has(caller.message(), "first"));
-  EXPECT_TRUE(has(caller.message(), "second"));
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  TestSocket client = fixture.connect_client();
+  client.send(request("mark", "", "one"));
+  TestSocket server = fixture.servers[0].accept();
+  EXPECT_TRUE(contains(server.read_message(), "\r\n\r\none"));
+  client.send(request("mark", "", "two"));
+  server.send(ok_response("first"));
+  EXPECT_TRUE(contains(server.read_message(), "\r\n\r\ntwo"));
+  server.send(ok_response("second"));
+  EXPECT_TRUE(contains(client.read_message(), "first"));
+  EXPECT_TRUE(contains(client.read_message(), "second"));
 }
 
-// The id of a request that is open: sent on, its effect could come twice or its answer go astray.
+// Two requests in flight with one id could run twice, or get each other's response.
 TEST(ClientRequest, RejectsAnIdThatIsOpen) {
-  NodeFixture w;
-  w.serve(w.both());
-  TestSocket one = w.client(), two = w.client();
-  one.send(request("mark"));
-  TestSocket server = w.next();
-  server.message();
-  two.send(request("close"));
-  EXPECT_TRUE(has(two.message(), "HTTP/1.1 409 "));
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
-  server.send(ok());
-  EXPECT_TRUE(has(one.message(), " 200 "));
-  one.send(request("mark"));
-  server.message();
-  server.send(ok());
-  EXPECT_TRUE(has(one.message(), " 200 ")) << "it is no longer open";
+  NodeFixture fixture;
+  fixture.start_with_both_servers();
+  TestSocket first_client = fixture.connect_client(), second_client = fixture.connect_client();
+  first_client.send(request("mark"));
+  TestSocket server = fixture.accept_at_either_server();
+  server.read_message();
+  second_client.send(request("close"));
+  EXPECT_TRUE(contains(second_client.read_message(), "HTTP/1.1 409 "));
+  EXPECT_TRUE(fixture.servers_are_idle());
+  server.send(ok_response());
+  EXPECT_TRUE(contains(first_client.read_message(), " 200 "));
+  first_client.send(request("mark"));
+  server.read_message();
+  server.send(ok_response());
+  EXPECT_TRUE(contains(first_client.read_message(), " 200 ")) << "it is no longer in flight";
 }
 
 TEST(ClientRequest, RejectsWhatIsNotSound) {
-  NodeFixture w;
-  w.serve(w.both());
+  NodeFixture fixture;
+  fixture.start_with_both_servers();
   const std::string start = "POST /api HTTP/1.1\r\nRequest-Id: r\r\n";
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"413", start + "Request-Class: close\r\nTenant: acme\r\nContent-Length: 41943041\r\n\r\n"},
       {"400", "nonsense\r\n\r\n"},
       {"400", "POST /api HTTP/1.1\r\nno colon\r\n\r\n"},
       {"431", "POST /api HTTP/1.1\r\nX: " + std::string(20000, 'x')},
-      {"431", "POST /api HTTP/1.1\r\n" + repeated("X: y\r\n", 4000)},  // each line short, the head endless
+      {"431", "POST /api HTTP/1.1\r\n" + repeated("X: y\r\n", 4000)},  // short lines, an endless head
       {"404", "GET /apis HTTP/1.1\r\n\r\n"},
       {"400", request("other")},
       {"400", request("mark", "Request-Timeout-Ms: soon\r\n")},
       {"400", request("mark", "Request-Timeout-Ms: -5\r\n")},
       {"400", request("mark", "Request-Timeout-Ms: 0\r\n")},
-      {"400", with_length(start + "Request-Class: close\r\nTenant: nobody\r\n", "")},
-      {"400", with_length(start + "Request-Class: mark\r\nTenant: acme\r\n", "")},  // keyed without its key
+      {"400", with_content_length(start + "Request-Class: close\r\nTenant: nobody\r\n", "")},
+      {"400", with_content_length(start + "Request-Class: mark\r\nTenant: acme\r\n",
+                                  "")},  // without its idempotency key
       {"400", "GET /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: close\r\nTenant: acme\r\n\r\n"},
-      {"400", with_length("POST /api HTTP/1.1\r\nRequest-Class: close\r\nTenant: acme\r\n", "")},
+      {"400", with_content_length("POST /api HTTP/1.1\r\nRequest-Class: close\r\nTenant: acme\r\n", "")},
       {"400", request("close", "Idempotency-Key: k\r\n")},
       {"400", request("close", "Request-Id: r2\r\n")},
       {"400", request("close", "Tenant: acme\r\n")},
       {"400", request("close", "X-Folded: a\r\n b\r\n")},
       {"400", "GET /api HTTP/1.1\r\n folded\r\n\r\n"},
-      // Where the message ends can't be told for certain: a second request may be hidden in the first.
-      {"400", head("close") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
-      {"400", head("close") + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"},
-      {"400", head("close") + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nabcde"},
-      {"400", head("close") + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"},
-      {"400", head("close") + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"},
-      {"400", head("close") + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nabcde"},
-      {"400", head("close") + "Content-Length: 5, 5\r\n\r\nabcde"},
-      {"400", head("close") + "Content-Length: -5\r\n\r\nabcde"},
-      {"400", head("close") + "Content-Length: +5\r\n\r\nabcde"},
-      {"400", head("close") + "Content-Length: 0x5\r\n\r\nabcde"},
-      {"400", head("close") + "Content-Length: 99999999999999999999\r\n\r\n"},
-      {"400", head("close") + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"},
-      {"413", head("close") + "Transfer-Encoding: chunked\r\n\r\n2800001\r\n"},
-      {"431", head("close") + "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(20000, 'x')},
+      // The end of the message is ambiguous: a second request may be smuggled inside the first.
+      {"400", request_head("close") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
+      {"400", request_head("close") + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"},
+      {"400", request_head("close") + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nabcde"},
+      {"400", request_head("close") + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n"},
+      {"400", request_head("close") + "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n"},
+      {"400", request_head("close") + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nabcde"},
+      {"400", request_head("close") + "Content-Length: 5, 5\r\n\r\nabcde"},
+      {"400", request_head("close") + "Content-Length: -5\r\n\r\nabcde"},
+      {"400", request_head("close") + "Content-Length: +5\r\n\r\nabcde"},
+      {"400", request_head("close") + "Content-Length: 0x5\r\n\r\nabcde"},
+      {"400", request_head("close") + "Content-Length: 99999999999999999999\r\n\r\n"},
+      {"400", request_head("close") + "Transfer-Encoding: chunked\r\n\r\nzz\r\n"},
+      {"413", request_head("close") + "Transfer-Encoding: chunked\r\n\r\n2800001\r\n"},
+      {"431", request_head("close") + "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(20000, 'x')},
   };
   for (const auto& [status, text] : cases) {
-    TestSocket caller = w.client();
-    caller.send(text + (status == "404" ? "" : request("close", "", "hidden", "r9")));
-    EXPECT_TRUE(has(caller.message(), "HTTP/1.1 " + status)) << text.substr(0, 300);
+    TestSocket client = fixture.connect_client();
+    client.send(text + (status == "404" ? "" : request("close", "", "hidden", "r9")));
+    EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 " + status)) << text.substr(0, 300);
     if (status != "404") {
-      EXPECT_TRUE(caller.ended()) << text.substr(0, 300);
+      EXPECT_TRUE(client.closed_by_peer()) << text.substr(0, 300);
     }
   }
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
-  EXPECT_TRUE(has(w.health(), " 200 "));
+  EXPECT_TRUE(fixture.servers_are_idle());
+  EXPECT_TRUE(contains(fixture.health_response(), " 200 "));
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/connection_limit_test.cpp
+++ b/tests/node/connection_limit_test.cpp
@@ -1,209 +1,229 @@
-// Many, idle and slow clients, and limits on descriptors and memory.
-#include <filesystem>
-#include <sstream>
+// Limits on connections, descriptors and memory, with many, idle and slow clients.
+#include <chrono>
+#include <memory>
+#include <string>
 #include <vector>
 
-#include "support/calm_node_fixture.h"
-#include "support/late_server.h"
-#include "support/node_fixture.h"
+#include "support/long_timeout_fixture.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
+using namespace std::chrono_literals;
+
+std::vector<TestSocket> connect_idle_clients(const NodeFixture& fixture, std::size_t count) {
+  std::vector<TestSocket> clients;
+  clients.reserve(count);
+  for (std::size_t i = 0; i < count; ++i) clients.push_back(fixture.connect_client());
+  return clients;
+}
+
+// A client that has had a response and stays connected.
+TestSocket connect_keep_alive_client(const NodeFixture& fixture) {
+  TestSocket client = fixture.connect_client();
+  client.send("GET /healthz HTTP/1.1\r\n\r\n");
+  client.read_message();
+  return client;
+}
+
+// A node with few sockets and one server.
+struct FewSocketsFixture : NodeFixture {
+  FewSocketsFixture() {
+    config.max_sockets = 100;
+    start_with_one_server();
+  }
+};
+
 TEST(ConnectionLimit, SilentConnectionsDoNotKeepOthersOut) {
-  NodeFixture w;
-  w.sockets = 100;
-  w.serve(host("s0", w.servers[0].port()));
-  std::vector<TestSocket> silent;
-  silent.reserve(120);
-  for (int i = 0; i < 120; ++i) silent.push_back(w.client());
-  TestSocket caller = w.client();
-  w.expect_served(caller);
+  FewSocketsFixture fixture;
+  const std::vector<TestSocket> idle_clients = connect_idle_clients(fixture, 120);
+  TestSocket client = fixture.connect_client();
+  fixture.expect_served(client);
 }
 
 TEST(ConnectionLimit, EndsSilentAndSlowConnectionsInThreeSeconds) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  const double from = seconds();
-  TestSocket silent = w.client(), slow = w.client(), bodiless = w.client();
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  const Stopwatch stopwatch;
+  TestSocket silent = fixture.connect_client(), slow = fixture.connect_client(),
+             bodiless = fixture.connect_client();
   slow.send("POST /api HTTP/1.1\r\nRequest-Id:");
-  bodiless.send(head("close") + "Content-Length: 100\r\n\r\nhalf");
-  EXPECT_TRUE(silent.ended());
-  EXPECT_TRUE(has(slow.message(), "HTTP/1.1 408 "));
-  EXPECT_TRUE(has(bodiless.message(), "HTTP/1.1 408 "));
-  EXPECT_LT(seconds() - from, 3);
+  bodiless.send(request_head("close") + "Content-Length: 100\r\n\r\nhalf");
+  EXPECT_TRUE(silent.closed_by_peer());
+  EXPECT_TRUE(contains(slow.read_message(), "HTTP/1.1 408 "));
+  EXPECT_TRUE(contains(bodiless.read_message(), "HTTP/1.1 408 "));
+  EXPECT_LT(stopwatch.seconds(), 3);
 }
 
 TEST(ConnectionLimit, KeptConnectionsAndSlowHeadsDoNotKeepOthersOut) {
-  NodeFixture w;
-  w.sockets = 100;
-  w.serve(host("s0", w.servers[0].port()));
-  std::vector<TestSocket> crowd;
+  FewSocketsFixture fixture;
+  std::vector<TestSocket> clients;
   for (int i = 0; i < 100; ++i) {
-    crowd.push_back(w.client());
-    const bool slow = i % 2 == 0;
-    crowd.back().send(slow ? "POST /api HTTP/1.1\r\nRequest-Id:" : "GET /healthz HTTP/1.1\r\n\r\n");
-    if (!slow) crowd.back().message();
+    const bool is_slow = i % 2 == 0;
+    clients.push_back(is_slow ? fixture.connect_client() : connect_keep_alive_client(fixture));
+    if (is_slow) clients.back().send("POST /api HTTP/1.1\r\nRequest-Id:");
   }
-  TestSocket caller = w.client();
-  w.expect_served(caller);
+  TestSocket client = fixture.connect_client();
+  fixture.expect_served(client);
 }
 
-// Clients that have just connected must not push each other out while old connections are kept.
+// New connections take the place of idle keep-alive connections, not of one another.
 TEST(ConnectionLimit, ACrowdDoesNotPushOutWhoHasJustConnected) {
-  NodeFixture w;
-  w.sockets = 100;
-  w.serve(host("s0", w.servers[0].port()));
-  std::vector<TestSocket> kept;
-  for (int i = 0; i < 40; ++i) {
-    kept.push_back(w.client());
-    kept.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-    kept.back().message();
-  }
-  TestSocket caller = w.client();
-  std::vector<TestSocket> crowd;
-  crowd.reserve(10);
-  for (int i = 0; i < 10; ++i) crowd.push_back(w.client());
-  crowd.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(crowd.back().message(), " 200 ")) << "all of the crowd are connected";
-  w.expect_served(caller);
+  FewSocketsFixture fixture;
+  std::vector<TestSocket> keep_alive_clients;
+  for (int i = 0; i < 40; ++i) keep_alive_clients.push_back(connect_keep_alive_client(fixture));
+  TestSocket client = fixture.connect_client();
+  std::vector<TestSocket> new_clients = connect_idle_clients(fixture, 10);
+  new_clients.back().send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(new_clients.back().read_message(), " 200 ")) << "all new clients are connected";
+  fixture.expect_served(client);
 }
 
-// Bodies that are begun and never end hold memory: past a part of the limit the node turns requests away.
+// Incomplete bodies occupy memory: past a fraction of the limit the node rejects requests.
 TEST(ConnectionLimit, HoldsNoMoreBodiesThanItsMemoryAllows) {
-  NodeFixture w;
-  w.memory_mb = 16;
-  w.serve(host("s0", w.servers[0].port()));
-  std::vector<TestSocket> held;
-  bool full = false;
-  for (int i = 0; i < 100 && !full; ++i) {
-    held.push_back(w.client());
-    held.back().send(head("close", "h" + std::to_string(i)) + "Content-Length: 65536\r\n\r\nhalf");
-    TestSocket probe = w.client();
-    probe.send(head("close", "p") + "Content-Length: 65536\r\n\r\n");
-    full = !probe.quiet(20) && has(probe.message(), "HTTP/1.1 503 ");
+  NodeFixture fixture;
+  fixture.config.max_memory_mb = 16;
+  fixture.start_with_one_server();
+  std::vector<TestSocket> uploads;
+  bool is_full = false;
+  for (int i = 0; i < 100 && !is_full; ++i) {
+    uploads.push_back(fixture.connect_client());
+    uploads.back().send(request_head("close", "h" + std::to_string(i)) + "Content-Length: 65536\r\n\r\nhalf");
+    TestSocket probe = fixture.connect_client();
+    probe.send(request_head("close", "p") + "Content-Length: 65536\r\n\r\n");
+    is_full = !probe.is_idle(20ms) && contains(probe.read_message(), "HTTP/1.1 503 ");
   }
-  EXPECT_TRUE(full);
-  EXPECT_GT(held.size(), 20U);
-  held.clear();
-  until([&] {
-    TestSocket caller = w.client();
-    caller.send(request("close"));
-    if (caller.quiet(50)) return true;
-    caller.message();
+  EXPECT_TRUE(is_full);
+  EXPECT_GT(uploads.size(), 20U);
+  uploads.clear();
+  wait_until([&] {
+    TestSocket client = fixture.connect_client();
+    client.send(request("close"));
+    if (client.is_idle(50ms)) return true;
+    client.read_message();
     return false;
   });
 }
 
 TEST(ConnectionLimit, SurvivesRunningOutOfDescriptors) {
-  NodeFixture w;
-  w.node = std::make_unique<NodeProcess>(w.config(), 24);
-  w.take_watch();
-  w.tell(list(7, true, host("s0", w.servers[0].port())));
-  w.await_ready();
-  std::vector<TestSocket> silent;
-  silent.reserve(40);
-  for (int i = 0; i < 40; ++i) silent.push_back(w.client());
-  silent.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(silent.back().message(), " 200 ")) << "those before it made room";
-  silent.clear();
-  TestSocket caller = w.client();
-  w.expect_served(caller);
+  NodeFixture fixture;
+  fixture.node =
+      std::make_unique<NodeProcess>(fixture.config.to_json(), NodeProcessOptions{.descriptor_limit = 24});
+  fixture.accept_watch();
+  fixture.announce_snapshot(7, fixture.server_entry(0));
+  fixture.wait_until_ready();
+  std::vector<TestSocket> idle_clients = connect_idle_clients(fixture, 40);
+  idle_clients.back().send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(idle_clients.back().read_message(), " 200 ")) << "older idle connections were closed";
+  idle_clients.clear();
+  TestSocket client = fixture.connect_client();
+  fixture.expect_served(client);
 }
 
 constexpr int kFewDescriptors = 64;
 
-enum class Crowd { kSilent, kKept };
+enum class ClientKind { kSilent, kKeepAlive };
 
-struct CrowdedNodeFixture : CalmNodeFixture {
-  explicit CrowdedNodeFixture(bool ask) {
-    asks = ask;
-    sockets = kFewDescriptors;
-    node = std::make_unique<NodeProcess>(config(), kFewDescriptors);
-    take_watch();
-    std::string hosts;
+const char* name_of(ClientKind kind) { return kind == ClientKind::kSilent ? "silent" : "keep-alive"; }
+
+// A node with few descriptors, all of which its clients, servers and operators use.
+struct FewDescriptorsFixture : KeepAliveFixture {
+  explicit FewDescriptorsFixture(bool awaits_watch) {
+    config.awaits_watch = awaits_watch;
+    config.max_sockets = kFewDescriptors;
+    node = std::make_unique<NodeProcess>(config.to_json(),
+                                         NodeProcessOptions{.descriptor_limit = kFewDescriptors});
+    accept_watch();
+    std::string entries;
     for (int i = 0; i < 20; ++i) {
-      hosts += (i > 0 ? "," : "") + host("s" + std::to_string(i), servers[0].port());
+      entries += (i > 0 ? "," : "") + endpoint("s" + std::to_string(i), servers[0].port());
     }
-    tell(list(7, true, hosts));
-    await_ready();
+    announce_snapshot(7, entries);
+    wait_until_ready();
   }
-  // As many connections to servers as it keeps: the next one is refused.
-  void fill_servers() {
-    std::vector<TestSocket> callers;
+  // Opens as many upstream connections as the node allows: it rejects the next request.
+  void open_all_upstream_connections() {
+    std::vector<TestSocket> clients;
     for (int i = 0;; ++i) {
-      callers.push_back(client());
-      callers.back().send(request("close", "", "question", "fill" + std::to_string(i)));
-      until([&] { return !servers[0].quiet() || !callers.back().quiet(); });
-      if (servers[0].quiet()) break;
-      parked.push_back(servers[0].accept());
-      parked.back().message();
+      clients.push_back(connect_client());
+      clients.back().send(request_with_id("close", "fill" + std::to_string(i)));
+      wait_until([&] { return !servers[0].is_idle() || !clients.back().is_idle(); });
+      if (servers[0].is_idle()) break;
+      upstream_connections.push_back(servers[0].accept());
+      upstream_connections.back().read_message();
     }
-    EXPECT_TRUE(has(callers.back().message(), " 503 "));
-    for (const TestSocket& server : parked) server.send(ok());
-    callers.pop_back();
-    for (TestSocket& caller : callers) EXPECT_TRUE(has(caller.message(), " 200 "));
-    EXPECT_GE(parked.size(), 8U);
+    EXPECT_TRUE(contains(clients.back().read_message(), " 503 "));
+    for (const TestSocket& server : upstream_connections) server.send(ok_response());
+    clients.pop_back();
+    for (TestSocket& client : clients) EXPECT_TRUE(contains(client.read_message(), " 200 "));
+    EXPECT_GE(upstream_connections.size(), 8U);
   }
-  // Far more clients than it takes, and operators' connections that hold on.
-  void fill_callers(Crowd kind) {
+  // Opens far more client connections than the node allows, and idle admin connections.
+  void open_too_many_connections(ClientKind kind) {
     for (int i = 0; i < 2 * kFewDescriptors; ++i) {
-      idle.push_back(client());
-      if (kind != Crowd::kKept) continue;
-      idle.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-      idle.back().message();
+      idle_clients.push_back(kind == ClientKind::kKeepAlive ? connect_keep_alive_client(*this)
+                                                            : connect_client());
     }
-    for (int i = 0; i < 20; ++i) operators_idle.push_back(TestSocket::to(node->admin_port()));
+    for (int i = 0; i < 20; ++i) idle_operators.push_back(TestSocket::connect_to(node->admin_port()));
+  }
+  std::string response_from(const ListeningSocket& listener) const {
+    TestSocket client = connect_client();
+    client.send(request_with_id("close", "new"));
+    TestSocket server = listener.accept();
+    server.read_message();
+    server.send(ok_response("heard"));
+    return client.read_message();
   }
-  std::string asked_on_new(ScriptedPeer& server) {
-    TestSocket caller = client();
-    caller.send(request("close", "", "question", "new"));
-    TestSocket taken = server.accept();
-    taken.message();
-    taken.send(ok("heard"));
-    return caller.message();
+  // Repeats an event until a metric becomes 1. The node reopens a watch that is silent for long, as while a
+  // test waits.
+  void announce_until_metric_is_1(const ListeningSocket& current_discovery, const std::string& event,
+                                  const std::string& metric_name) {
+    wait_until([&] {
+      if (!watch.is_open() || !current_discovery.is_idle()) {
+        watch = current_discovery.accept();
+        watch.read_message();
+        watch.send(kChunkedResponseHead);
+      }
+      send_on_watch(event);
+      return metric(metric_name) == 1;
+    });
   }
 
-  std::vector<TestSocket> parked, idle, operators_idle;
+  std::vector<TestSocket> upstream_connections, idle_clients, idle_operators;
 };
 
-void reach_discovery_amid(Crowd kind, bool asks, bool moves) {
-  SCOPED_TRACE(::testing::Message() << "crowd " << int(kind) << ", asks " << asks << ", moves " << moves);
-  CrowdedNodeFixture w(asks);
-  w.fill_servers();
-  w.discovery.refuse();
-  w.watch.reset();
-  w.node->log("keeping the last endpoint list");
-  w.fill_callers(kind);
-  ScriptedPeer elsewhere, fresh;
-  moves ? w.node->reload(moved(w, elsewhere)) : w.discovery.resume();
-  const ScriptedPeer& discovery = moves ? elsewhere : w.discovery;
-  // A watch that is silent for long, as while a test waits, is opened anew.
-  const auto tell = [&](const std::string& news, const std::string& figure) {
-    until([&] {
-      if (!w.watch.open() || !discovery.quiet()) {
-        w.watch = discovery.accept();
-        w.watch.message();
-        w.watch.send(kWatchHead);
-      }
-      w.tell(news);
-      return w.metric(figure) == 1;
-    });
-  };
-  tell(list(8, true, host("s99", fresh.port())), "members");
-  EXPECT_TRUE(has(w.asked_on_new(fresh), "heard"));
-  EXPECT_TRUE(has(w.health(), " 200 "));
-  tell(list(9, true, host("s99", fresh.port(), "leaving")), "members_unavailable");
-  const std::string last = w.health();
-  EXPECT_TRUE(has(last, " 503 ")) << last;
+void expect_discovery_reachable(ClientKind kind, bool awaits_watch, bool discovery_moves) {
+  SCOPED_TRACE(::testing::Message() << name_of(kind) << " clients, awaits watch " << awaits_watch
+                                    << ", discovery moves " << discovery_moves);
+  FewDescriptorsFixture fixture(awaits_watch);
+  fixture.open_all_upstream_connections();
+  fixture.discovery.stop_listening();
+  fixture.watch.reset();
+  fixture.node->read_log_until("keeping the last endpoint list");
+  fixture.open_too_many_connections(kind);
+  const ListeningSocket other_discovery, new_server;
+  discovery_moves ? fixture.node->reload(fixture.config_with_discovery(other_discovery))
+                  : fixture.discovery.resume_listening();
+  const ListeningSocket& discovery = discovery_moves ? other_discovery : fixture.discovery;
+  fixture.announce_until_metric_is_1(discovery, snapshot_event(8, endpoint("s99", new_server.port())),
+                                     "members");
+  EXPECT_TRUE(contains(fixture.response_from(new_server), "heard"));
+  EXPECT_TRUE(contains(fixture.health_response(), " 200 "));
+  fixture.announce_until_metric_is_1(
+      discovery, snapshot_event(9, endpoint("s99", new_server.port(), "leaving")), "members_unavailable");
+  const std::string response = fixture.health_response();
+  EXPECT_TRUE(contains(response, " 503 ")) << response;
 }
 
 TEST(ConnectionLimit, OfIdleClientsDoesNotKeepDiscoveryOrOthersOut) {
-  for (const Crowd kind : {Crowd::kKept, Crowd::kSilent}) {
-    for (const bool asks : {false, true}) {
-      for (const bool moves : {false, true}) reach_discovery_amid(kind, asks, moves);
+  for (const ClientKind kind : {ClientKind::kKeepAlive, ClientKind::kSilent}) {
+    for (const bool awaits_watch : {false, true}) {
+      for (const bool discovery_moves : {false, true}) {
+        expect_discovery_reachable(kind, awaits_watch, discovery_moves);
+      }
     }
   }
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -1,238 +1,238 @@
-// The watch on discovery: failures, silence and moves.
-#include <sstream>
-#include <thread>
-#include <vector>
+// The watch on discovery: failures, silence and changes of its address.
+#include <chrono>
+#include <csignal>
+#include <string>
+#include <utility>
 
-#include "support/late_server.h"
-#include "support/node_fixture.h"
+#include "support/long_timeout_fixture.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
+using namespace std::chrono_literals;
+
 TEST(Discovery, IsReadyOnceItKnowsServers) {
-  NodeFixture w;
-  w.start();
-  EXPECT_TRUE(has(w.health(), " 503 "));
-  EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << "the whole list";
-  w.tell(list(7, true, w.both()));
-  w.await_ready();
+  NodeFixture fixture;
+  fixture.start();
+  EXPECT_TRUE(contains(fixture.health_response(), " 503 "));
+  EXPECT_TRUE(contains(fixture.accept_watch(), kSnapshotRequestLine)) << "a snapshot";
+  fixture.announce_snapshot(7, fixture.both_server_entries());
+  fixture.wait_until_ready();
 }
 
 TEST(Discovery, KeepsItsListAndAsksAgainWhenTheWatchBreaks) {
-  NodeFixture w;
-  std::string known = list(3, true, host("s0", w.servers[0].port()));
-  known.pop_back();
-  w.known = "\"known\":" + known + ",";
-  w.start();
-  w.discovery.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));  // turned away
-  w.await_ready();
-  EXPECT_TRUE(has(w.take_watch(), "stream=1&index=3 "));
-  w.tell("\n");
-  w.watch.send("20\r\n{\"seq\":4,\"whole\":true,\"ho");  // cut in the middle of a line
-  w.watch.close();
-  EXPECT_TRUE(has(w.take_watch(), "stream=1&index=3 "));
-  w.tell("{\"seq\":5,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");  // nonsense
-  EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP")) << "the whole list";
-  TestSocket caller = w.client();
-  w.expect_served(caller);
+  NodeFixture fixture;
+  fixture.config.known_endpoints = snapshot(3, fixture.server_entry(0));
+  fixture.start();
+  fixture.discovery.accept().send(with_content_length("HTTP/1.1 503 Busy\r\n", ""));
+  fixture.wait_until_ready();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=3 "));
+  fixture.send_on_watch("\n");
+  fixture.watch.send("20\r\n{\"seq\":4,\"whole\":true,\"ho");  // truncated in the middle of a line
+  fixture.watch.close();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=3 "));
+  fixture.send_on_watch("{\"seq\":5,\"whole\":true,\"hosts\":[{\"host\":7}]}\n");  // invalid
+  EXPECT_TRUE(contains(fixture.accept_watch(), "GET /v1/servers?stream=1 HTTP")) << "a snapshot";
+  TestSocket client = fixture.connect_client();
+  fixture.expect_served(client);
 }
 
 TEST(Discovery, TakesASilentWatchForBroken) {
-  NodeFixture w;
-  w.serve(w.both());
-  EXPECT_TRUE(w.watch.ended());
-  EXPECT_TRUE(has(w.take_watch(), "stream=1&index=7 "));
+  NodeFixture fixture;
+  fixture.start_with_both_servers();
+  EXPECT_TRUE(fixture.watch.closed_by_peer());
+  EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=7 "));
 }
 
-// A change counts as told after 6 s. A watch that is silent for so long, and one more after it, have
-// the node send to a server that drains.
+// A change counts as acknowledged after 6 s. With two silent watches in a row of that length the node would
+// send to a server that drains.
 TEST(Discovery, AsksAgainBeforeASilentWatchsChangesCountAsTold) {
-  NodeFixture w;
-  w.serve(w.both());
-  const auto heard = std::chrono::steady_clock::now();
-  TestSocket silent = w.discovery.accept();
-  EXPECT_TRUE(has(silent.message(), "stream=1&index=7 "));
-  EXPECT_LT(std::chrono::steady_clock::now() - heard, std::chrono::seconds(5));
-  EXPECT_TRUE(has(w.take_watch(), "stream=1&index=7 ")) << "and so when that one says nothing at all";
+  NodeFixture fixture;
+  fixture.start_with_both_servers();
+  const auto last_event_at = std::chrono::steady_clock::now();
+  TestSocket silent = fixture.discovery.accept();
+  EXPECT_TRUE(contains(silent.read_message(), "stream=1&index=7 "));
+  EXPECT_LT(std::chrono::steady_clock::now() - last_event_at, std::chrono::seconds(5));
+  EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=7 ")) << "and again without any response";
 }
 
 TEST(Discovery, MovesItsWatchOnSighup) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
+  NodeFixture fixture;
+  fixture.start_with_one_server();
   for (int round = 0; round < 2; ++round) {
-    const ScriptedPeer elsewhere;
-    w.node->reload(moved(w, elsewhere));
-    TestSocket next = elsewhere.accept();
-    EXPECT_TRUE(has(next.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << "the whole list";
-    EXPECT_TRUE(w.watch.quiet()) << "the old watch stays until the new one has spoken";
-    w.tell(list(8, true, host("s1", w.servers[1].port())));
-    TestSocket caller = w.client();
-    const auto serves = [&](const ScriptedPeer& peer) {
-      until([&] {
-        caller.send(request("close"));
-        TestSocket server = w.next();
-        server.message();
-        server.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
-        caller.message();
-        return server.local_port() == peer.port();
+    const ListeningSocket other_discovery;
+    fixture.node->reload(fixture.config_with_discovery(other_discovery));
+    TestSocket new_watch = other_discovery.accept();
+    EXPECT_TRUE(contains(new_watch.read_message(), kSnapshotRequestLine)) << "a snapshot";
+    EXPECT_TRUE(fixture.watch.is_idle()) << "the old watch stays until the new one has an event";
+    fixture.announce_snapshot(8, fixture.server_entry(1));
+    TestSocket client = fixture.connect_client();
+    const auto request_until_served_by = [&](const ListeningSocket& listener) {
+      wait_until([&] {
+        client.send(request("close"));
+        TestSocket server = fixture.accept_at_either_server();
+        server.read_message();
+        server.send(ok_response_with_close());
+        client.read_message();
+        return server.local_port() == listener.port();
       });
     };
-    serves(w.servers[1]);  // what the old watch says still counts
-    next.send(kWatchHead);
-    EXPECT_TRUE(w.watch.quiet());
-    next.send(chunk(list(3, true, host("s0", w.servers[0].port()))));
-    EXPECT_TRUE(w.watch.ended());
-    serves(w.servers[0]);
-    w.watch = std::move(next);
-    next = TestSocket();
+    request_until_served_by(fixture.servers[1]);  // events of the old watch still apply
+    new_watch.send(kChunkedResponseHead);
+    EXPECT_TRUE(fixture.watch.is_idle());
+    new_watch.send(chunk(snapshot_event(3, fixture.server_entry(0))));
+    EXPECT_TRUE(fixture.watch.closed_by_peer());
+    request_until_served_by(fixture.servers[0]);
+    fixture.watch = std::move(new_watch);
   }
 }
 
 TEST(Discovery, AsksTheNewDiscoveryAgainUntilItSpeaks) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  const ScriptedPeer elsewhere;
-  w.node->reload(moved(w, elsewhere));
-  elsewhere.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));
-  TestSocket second = elsewhere.accept();
-  w.watch.close();  // and the old one has gone by then
-  second.reset();
-  EXPECT_TRUE(has(elsewhere.accept().message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
-  EXPECT_TRUE(has(w.health(), " 200 ")) << "with the last list";
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  const ListeningSocket other_discovery;
+  fixture.node->reload(fixture.config_with_discovery(other_discovery));
+  other_discovery.accept().send(with_content_length("HTTP/1.1 503 Busy\r\n", ""));
+  TestSocket second_watch = other_discovery.accept();
+  fixture.watch.close();  // the old watch is gone by then
+  second_watch.reset();
+  EXPECT_TRUE(contains(other_discovery.accept().read_message(), kSnapshotRequestLine));
+  EXPECT_TRUE(contains(fixture.health_response(), " 200 ")) << "with the last list";
 }
 
 TEST(Discovery, MovesItsWatchInAnOutageAndInADrain) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  w.discovery.close();
-  w.watch.close();
-  w.node->log("keeping the last endpoint list");
-  const ScriptedPeer second, third;
-  w.node->reload(moved(w, second));
-  TestSocket watch = second.accept();
-  EXPECT_TRUE(has(watch.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
-  watch.send(kWatchHead);
-  watch.send(chunk(list(1, true, host("s0", w.servers[0].port()))));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  w.node->signal(SIGTERM);
-  w.node->log("draining");
-  w.node->reload(moved(w, third));
-  EXPECT_TRUE(has(third.accept().message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
-  server.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
-  EXPECT_EQ(w.node->exit_code(), 0);
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  fixture.discovery.close();
+  fixture.watch.close();
+  fixture.node->read_log_until("keeping the last endpoint list");
+  const ListeningSocket second_discovery, third_discovery;
+  fixture.node->reload(fixture.config_with_discovery(second_discovery));
+  TestSocket watch = second_discovery.accept();
+  EXPECT_TRUE(contains(watch.read_message(), kSnapshotRequestLine));
+  watch.send(kChunkedResponseHead);
+  watch.send(chunk(snapshot_event(1, fixture.server_entry(0))));
+  TestSocket client = fixture.connect_client();
+  const TestSocket server = fixture.forward(client);
+  fixture.node->signal(SIGTERM);
+  fixture.node->read_log_until("draining");
+  fixture.node->reload(fixture.config_with_discovery(third_discovery));
+  EXPECT_TRUE(contains(third_discovery.accept().read_message(), kSnapshotRequestLine));
+  server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
+  EXPECT_EQ(fixture.node->wait_for_exit(), 0);
 }
 
-// The same list, laid out over many lines.
-std::string indented(const std::string& line) {
-  std::string out;
-  for (const char c : line) {
-    out += c;
-    if (c == '{' || c == '[' || c == ',') out += "\r\n    ";
+// The same JSON, laid out over many lines.
+std::string indented(const std::string& json) {
+  std::string result;
+  for (const char character : json) {
+    result += character;
+    if (character == '{' || character == '[' || character == ',') result += "\r\n    ";
   }
-  return out;
+  return result;
 }
 
 TEST(Discovery, ListsMayComeIndentedAndCutAnywhere) {
-  for (const std::size_t piece : {std::size_t{1}, std::size_t{7}, std::size_t{100000}}) {
-    PatientNodeFixture w;
-    w.start();
-    w.take_watch();
-    const auto tell = [&](const std::string& text) {
-      for (std::size_t at = 0; at < text.size(); at += piece) w.tell(text.substr(at, piece));
+  for (const std::size_t chunk_size : {std::size_t{1}, std::size_t{7}, std::size_t{100000}}) {
+    LongTimeoutFixture fixture;
+    fixture.start();
+    fixture.accept_watch();
+    const auto send_in_chunks = [&](const std::string& text) {
+      for (std::size_t position = 0; position < text.size(); position += chunk_size) {
+        fixture.send_on_watch(text.substr(position, chunk_size));
+      }
     };
-    std::string odd = host("s}]\\\"", w.servers[1].port(), "leaving");  // brackets in a text are none
-    tell(indented(list(7, true, host("s0", w.servers[0].port()) + "," + odd)) + "\n");
-    w.await_ready();
-    TestSocket caller = w.client();
-    served_by(w, caller, w.servers[0]);
-    EXPECT_EQ(w.metric("members"), 2);
-    tell(indented(list(8, false, host("s1", w.servers[1].port()))) +
-         indented(list(9, false, host("s0", w.servers[0].port(), "leaving"))));
-    served_by(w, caller, w.servers[1]);
-    // Cut in the middle, the last good one holds.
-    const std::string cut = indented(list(10, true, host("s0", w.servers[0].port())));
-    tell(cut.substr(0, cut.size() - 5));
-    w.watch.close();
-    EXPECT_TRUE(has(w.take_watch(), "stream=1&index=9 "));
-    served_by(w, caller, w.servers[1]);
+    // Brackets within a string do not count.
+    const std::string bracketed = endpoint("s}]\\\"", fixture.servers[1].port(), "leaving");
+    send_in_chunks(indented(snapshot_event(7, fixture.server_entry(0) + "," + bracketed)) + "\n");
+    fixture.wait_until_ready();
+    TestSocket client = fixture.connect_client();
+    fixture.request_until_served_by(client, fixture.servers[0]);
+    EXPECT_EQ(fixture.metric("members"), 2);
+    send_in_chunks(indented(incremental_event(8, fixture.server_entry(1))) +
+                   indented(incremental_event(9, fixture.server_entry(0, "leaving"))));
+    fixture.request_until_served_by(client, fixture.servers[1]);
+    // After a truncated list the last valid one stays.
+    const std::string last_list = indented(snapshot_event(10, fixture.server_entry(0)));
+    send_in_chunks(last_list.substr(0, last_list.size() - 5));
+    fixture.watch.close();
+    EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=9 "));
+    fixture.request_until_served_by(client, fixture.servers[1]);
   }
 }
 
-// What can never become a list ends its watch, and the whole list is asked for.
 TEST(Discovery, ListsThatCanNotBeReadEndTheirWatch) {
-  PatientNodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
+  LongTimeoutFixture fixture;
+  fixture.start_with_one_server();
   const std::string line_end_in_string = std::string(R"({"seq":8,"ho)") + "\n";
-  for (const std::string& spoilt : {std::string(R"({"seq":8,"hosts":[})"), line_end_in_string,
-                                    std::string("]"), std::string("seq"), std::string(R"({"seq":8})")}) {
-    w.tell(spoilt);
-    EXPECT_TRUE(w.watch.ended()) << spoilt;
-    EXPECT_TRUE(has(w.take_watch(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << spoilt;
-    w.tell(list(7, true, host("s0", w.servers[0].port())));
+  for (const std::string& invalid : {std::string(R"({"seq":8,"hosts":[})"), line_end_in_string,
+                                     std::string("]"), std::string("seq"), std::string(R"({"seq":8})")}) {
+    fixture.send_on_watch(invalid);
+    EXPECT_TRUE(fixture.watch.closed_by_peer()) << invalid;
+    EXPECT_TRUE(contains(fixture.accept_watch(), kSnapshotRequestLine)) << invalid;
+    fixture.announce_snapshot(7, fixture.server_entry(0));
   }
-  TestSocket caller = w.client();
-  served_by(w, caller, w.servers[0]);
+  TestSocket client = fixture.connect_client();
+  fixture.request_until_served_by(client, fixture.servers[0]);
 }
 
-// Bytes that make no line and no list are no sign of life.
+// Bytes that complete no line and no list do not count as activity.
 TEST(Discovery, AWatchThatDripsIsBroken) {
-  for (const std::string begins : {"", "{\"seq\":8,"}) {
-    PatientNodeFixture w;
-    w.serve(host("s0", w.servers[0].port()));
-    w.tell(begins + " ");
-    until([&] {
-      w.tell(begins.empty() ? " " : "\n");
-      return !w.watch.quiet(50);
+  for (const std::string prefix : {"", "{\"seq\":8,"}) {
+    LongTimeoutFixture fixture;
+    fixture.start_with_one_server();
+    fixture.send_on_watch(prefix + " ");
+    wait_until([&] {
+      fixture.send_on_watch(prefix.empty() ? " " : "\n");
+      return !fixture.watch.is_idle(50ms);
     });
-    EXPECT_TRUE(w.watch.ended());
-    EXPECT_TRUE(has(w.take_watch(), "stream=1&index=7 "));
+    EXPECT_TRUE(fixture.watch.closed_by_peer());
+    EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=7 "));
   }
 }
 
-// Where lists are pushed, what comes at discovery's return counts as told at once: it is always being asked.
+// An agent that pushes lists is polled without a pause: the first list after an outage counts as acknowledged
+// at once.
 TEST(Discovery, ASilentAgentIsAskedAgainAtOnce) {
-  PatientNodeFixture w;
-  w.asks = false;
-  w.serve(host("s0", w.servers[0].port()));
-  double gaps = 0;
-  TestSocket silent = std::move(w.watch);
+  LongTimeoutFixture fixture;
+  fixture.config.awaits_watch = false;
+  fixture.start_with_one_server();
+  double total_gap_s = 0;
+  TestSocket silent = std::move(fixture.watch);
   for (int i = 0; i < 5; ++i) {
-    EXPECT_TRUE(silent.ended());
-    const double from = seconds();
-    silent = w.discovery.accept();
-    gaps += seconds() - from;
-    EXPECT_TRUE(has(silent.message(), "stream=1&index=7 "));
+    EXPECT_TRUE(silent.closed_by_peer());
+    const Stopwatch stopwatch;
+    silent = fixture.discovery.accept();
+    total_gap_s += stopwatch.seconds();
+    EXPECT_TRUE(contains(silent.read_message(), "stream=1&index=7 "));
   }
-  EXPECT_LT(gaps, 2) << "half a second, and what a busy machine adds";
-  silent.send(kWatchHead + chunk(list(8, true, host("s1", w.servers[1].port()))));
-  TestSocket caller = w.client();
-  served_by(w, caller, w.servers[1]);
+  EXPECT_LT(total_gap_s, 2) << "half a second, and more on a busy machine";
+  silent.send(kChunkedResponseHead + chunk(snapshot_event(8, fixture.server_entry(1))));
+  TestSocket client = fixture.connect_client();
+  fixture.request_until_served_by(client, fixture.servers[1]);
 }
 
-// A new configuration amid a silence: the old watch says nothing more, and the new address is silent at
-// first.
+// The old watch has no more events, and the new address does not respond at first.
 TEST(Discovery, AMoveAmidASilenceIsFollowed) {
-  for (const bool asks : {false, true}) {
-    PatientNodeFixture w;
-    w.asks = asks;
-    w.serve(host("s0", w.servers[0].port()));
-    const ScriptedPeer elsewhere;
-    w.node->reload(moved(w, elsewhere));
-    TestSocket silent = elsewhere.accept();
-    EXPECT_TRUE(has(silent.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
-    EXPECT_TRUE(silent.ended());
-    TestSocket next = elsewhere.accept();
-    EXPECT_TRUE(has(next.message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n")) << "still the whole list";
-    EXPECT_TRUE(w.discovery.quiet()) << "nobody asks the old address again";
-    next.send(kWatchHead + chunk(indented(list(3, true, host("s1", w.servers[1].port())))));
-    EXPECT_TRUE(w.watch.ended());
-    TestSocket caller = w.client();
-    served_by(w, caller, w.servers[1]);
+  for (const bool awaits_watch : {false, true}) {
+    LongTimeoutFixture fixture;
+    fixture.config.awaits_watch = awaits_watch;
+    fixture.start_with_one_server();
+    const ListeningSocket other_discovery;
+    fixture.node->reload(fixture.config_with_discovery(other_discovery));
+    TestSocket silent = other_discovery.accept();
+    EXPECT_TRUE(contains(silent.read_message(), kSnapshotRequestLine));
+    EXPECT_TRUE(silent.closed_by_peer());
+    TestSocket new_watch = other_discovery.accept();
+    EXPECT_TRUE(contains(new_watch.read_message(), kSnapshotRequestLine)) << "still a snapshot";
+    EXPECT_TRUE(fixture.discovery.is_idle()) << "the old address gets no further poll";
+    new_watch.send(kChunkedResponseHead + chunk(indented(snapshot_event(3, fixture.server_entry(1)))));
+    EXPECT_TRUE(fixture.watch.closed_by_peer());
+    TestSocket client = fixture.connect_client();
+    fixture.request_until_served_by(client, fixture.servers[1]);
   }
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/forwarding_test.cpp
+++ b/tests/node/forwarding_test.cpp
@@ -1,5 +1,5 @@
 // Requests are forwarded unchanged, and retried only where they have not run.
-#include <sstream>
+#include <string>
 #include <vector>
 
 #include "support/node_fixture.h"
@@ -8,94 +8,85 @@
 namespace {
 
 TEST(Forwarding, PassesRequestsOnUnchangedAndKeepsConnections) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("mark", "Request-Timeout-Ms: 900\r\nCookie: user=u\r\nConnection: keep-alive\r\n"));
-  TestSocket server = w.servers[0].accept();
-  const std::string got = server.message();
-  EXPECT_EQ(got.rfind("POST /api?x=1 HTTP/1.1\r\n", 0), 0U) << got;
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  TestSocket client = fixture.connect_client();
+  client.send(request("mark", "Request-Timeout-Ms: 900\r\nCookie: user=u\r\nConnection: keep-alive\r\n"));
+  TestSocket server = fixture.servers[0].accept();
+  const std::string forwarded = server.read_message();
+  EXPECT_EQ(forwarded.rfind("POST /api?x=1 HTTP/1.1\r\n", 0), 0U) << forwarded;
   for (const char* part :
        {"Request-Id: r1\r\n", "Idempotency-Key: k1\r\n", "Cookie: user=u\r\n", "\r\n\r\nquestion"}) {
-    EXPECT_TRUE(has(got, part)) << got;
+    EXPECT_TRUE(contains(forwarded, part)) << forwarded;
   }
-  EXPECT_FALSE(has(got, "Connection:")) << got;
-  const int passed_on = std::stoi(got.substr(got.find("Request-Timeout-Ms: ") + 20));
-  EXPECT_LT(passed_on, 900);
-  EXPECT_GT(passed_on, 400);
-  server.send(ok("the answer"));
-  EXPECT_TRUE(has(caller.message(), "\r\n\r\nthe answer"));
-  caller.send(request("close"));
-  EXPECT_TRUE(has(server.message(), "question")) << "the same connection serves again";
-  server.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
-  EXPECT_TRUE(w.servers[0].quiet());
+  EXPECT_FALSE(contains(forwarded, "Connection:")) << forwarded;
+  const std::string timeout_field = "Request-Timeout-Ms: ";
+  const int timeout_ms = std::stoi(forwarded.substr(forwarded.find(timeout_field) + timeout_field.size()));
+  EXPECT_LT(timeout_ms, 900);
+  EXPECT_GT(timeout_ms, 400);
+  server.send(ok_response("the answer"));
+  EXPECT_TRUE(contains(client.read_message(), "\r\n\r\nthe answer"));
+  client.send(request("close"));
+  EXPECT_TRUE(contains(server.read_message(), "question")) << "the same connection serves again";
+  server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
+  EXPECT_TRUE(fixture.servers[0].is_idle());
 }
 
 TEST(Forwarding, TriesElsewhereWhatWasNeverSent) {
-  NodeFixture w;
-  w.servers[0].refuse();
-  w.serve(w.both());
-  TestSocket caller = w.client(), server;
+  NodeFixture fixture;
+  fixture.servers[0].stop_listening();
+  fixture.start_with_both_servers();
+  TestSocket client = fixture.connect_client(), server;
   for (int i = 0; i < 6; ++i) {
-    caller.send(request("close"));
-    if (i == 0) server = w.servers[1].accept();
-    ASSERT_TRUE(has(server.message(), "question"));
-    server.send(ok());
-    EXPECT_TRUE(has(caller.message(), " 200 "));
+    client.send(request("close"));
+    if (i == 0) server = fixture.servers[1].accept();
+    ASSERT_TRUE(contains(server.read_message(), "question"));
+    server.send(ok_response());
+    EXPECT_TRUE(contains(client.read_message(), " 200 "));
   }
 }
 
 TEST(Forwarding, SendsAgainOnlyWhatTheServerSaysItHasNotBegun) {
-  NodeFixture w;
-  w.serve(w.both());
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket first = w.next();
-  first.message();
-  first.send(with_length("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nConnection: close\r\n", ""));
-  TestSocket second = w.next();
-  EXPECT_TRUE(has(second.message(), "Request-Id: r1"));
-  second.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+  NodeFixture fixture;
+  auto [client, first_server] = fixture.start_with_request_to_either();
+  first_server.send(not_started_response_with_close());
+  TestSocket second_server = fixture.accept_at_either_server();
+  EXPECT_TRUE(contains(second_server.read_message(), "Request-Id: r1"));
+  second_server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-// Each of these may have run: an unsafe request gets no second attempt and no refusal.
+// After each of these the request may have run: an unsafe one is neither retried nor rejected.
 TEST(Forwarding, FailsWhatMayHaveRun) {
-  const std::vector<std::string> answers = {
+  const std::vector<std::string> responses = {
       "",                                               // the connection just ends
-      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",  // cut
+      "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",  // truncated
       "SSH-2.0 nonsense\r\n\r\n",
-      with_length("HTTP/1.1 500 Error\r\n", ""),
-      with_length("HTTP/1.1 503 Busy\r\n", ""),
-      with_length("HTTP/1.1 500 Error\r\nNot-Started: 1\r\n", ""),
-      with_length("HTTP/1.1 302 Found\r\n", ""),
+      with_content_length("HTTP/1.1 500 Error\r\n", ""),
+      with_content_length("HTTP/1.1 503 Busy\r\n", ""),
+      with_content_length("HTTP/1.1 500 Error\r\nNot-Started: 1\r\n", ""),
+      with_content_length("HTTP/1.1 302 Found\r\n", ""),
   };
-  for (const std::string& answer : answers) {
-    NodeFixture w;
-    w.serve(w.both());
-    TestSocket caller = w.client();
-    caller.send(request("close"));
-    TestSocket server = w.next();
-    server.message();
-    server.send(answer);
+  for (const std::string& response : responses) {
+    NodeFixture fixture;
+    auto [client, server] = fixture.start_with_request_to_either();
+    server.send(response);
     server.close();
-    const std::string got = caller.message();
-    EXPECT_TRUE(has(got, "HTTP/1.1 502 ")) << got.substr(0, 60) << " after " << answer.substr(0, 60);
-    EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet()) << answer.substr(0, 60);
+    const std::string final_response = client.read_message();
+    EXPECT_TRUE(contains(final_response, "HTTP/1.1 502 "))
+        << final_response.substr(0, 60) << " after " << response.substr(0, 60);
+    EXPECT_TRUE(fixture.servers_are_idle()) << response.substr(0, 60);
   }
 }
 
 TEST(Forwarding, ResetAfterTheLastByteIsNotRepeated) {
-  NodeFixture w;
-  w.serve(w.both());
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket server = w.next();
-  server.message();
+  NodeFixture fixture;
+  auto [client, server] = fixture.start_with_request_to_either();
   server.reset();
-  EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 "));
-  EXPECT_TRUE(w.servers[0].quiet() && w.servers[1].quiet());
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 502 "));
+  EXPECT_TRUE(fixture.servers_are_idle());
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/long_endpoint_list_test.cpp
+++ b/tests/node/long_endpoint_list_test.cpp
@@ -1,5 +1,6 @@
-// Lists of any length, lists that can't be taken, and calls to discovery that fail: the whole node.
+// Endpoint lists of any length, lists that are rejected, and polls of discovery that fail.
 #include <string>
+#include <utility>
 
 #include "support/node_fixture.h"
 
@@ -7,199 +8,207 @@
 namespace {
 
 #ifndef __SANITIZE_ADDRESS__
-constexpr int kMany = 27000;
+constexpr int kManyEndpoints = 27000;
 #else
-constexpr int kMany = 10000;  // over 1 MiB all the same; everything takes ten times as long
+constexpr int kManyEndpoints = 10000;  // still over 1 MiB; the sanitizers make everything ten times as slow
 #endif
-constexpr int kTooMany = 14000;  // for a node with 16 MB
+constexpr int kTooManyEndpoints = 14000;  // for a node with 16 MB
 
-struct ManagedWorld : NodeFixture {
-  ManagedWorld() { more = R"("management":"127.0.0.1:0",)"; }
+constexpr int kUnreachablePort = 1;
 
-  // Tells a list on a watch that is open: the one before may have been given up for its silence meanwhile.
-  void tell_now(const std::string& text) {
-    if (!watch.quiet()) take_watch();
-    tell(text);
+// The beginning of a chunk that holds the beginning of a list.
+constexpr const char* kTruncatedChunk = "20\r\n{\"seq\":8,\"whole\":true,\"ho";
+
+struct EndpointListFixture : NodeFixture {
+  EndpointListFixture() { enable_admin_server(); }
+
+  // Sends on an open watch: the node may have closed the previous one for its silence meanwhile.
+  void send_on_open_watch(const std::string& text) {
+    if (!watch.is_idle()) accept_watch();
+    send_on_watch(text);
+  }
+  void expect_served_by(const ListeningSocket& listener) const {
+    TestSocket client = connect_client();
+    client.send(request("close"));
+    TestSocket server = listener.accept();
+    server.read_message();
+    server.send(ok_response_with_close());
+    EXPECT_TRUE(contains(client.read_message(), " 200 "));
   }
 };
 
-const std::string kWhole = "GET /v1/servers?stream=1 HTTP/1.1\r\n";
+// A snapshot of so many endpoints: `last_entry`, and before it others at one port.
+std::string long_snapshot(int sequence, int count, const std::string& last_entry,
+                          int port = kUnreachablePort) {
+  std::string entries;
+  const std::string health = port == kUnreachablePort ? "leaving" : "active";
+  for (int i = 1; i < count; ++i) entries += endpoint("s-" + std::to_string(i), port, health) + ",";
+  return snapshot(static_cast<unsigned>(sequence), entries + last_entry);
+}
 
-// A whole list of so many servers: the last one, and others at one port.
-std::string long_list(int seq, int count, const std::string& last, int port = 1) {
-  std::string hosts;
-  const std::string health = port == 1 ? "leaving" : "active";
-  for (int i = 1; i < count; ++i) hosts += host("s-" + std::to_string(i), port, health) + ",";
-  return list(seq, true, hosts + last);
+std::string long_snapshot_event(int sequence, int count, const std::string& last_entry,
+                                int port = kUnreachablePort) {
+  return long_snapshot(sequence, count, last_entry, port) + "\n";
 }
 
-// The whole node, at its peak. The sanitizers take memory of their own.
+// The node's peak memory; the sanitizers use memory of their own.
 void expect_under_32_mb([[maybe_unused]] const NodeProcess& node) {
 #ifndef __SANITIZE_ADDRESS__
-  std::ifstream status(node.folder() + "/status");
-  std::string line;
-  while (!line.starts_with("VmHWM:") && std::getline(status, line)) {
-  }
-  EXPECT_LT(std::stol(line.substr(6)), 32 * 1024);
+  EXPECT_LT(node.peak_memory_kb(), 32 * 1024);
 #endif
 }
 
-// A list of some 3 MB that takes little work: one server, and fields that nobody knows.
-std::string heavy_list(int seq, const std::string& server) {
-  std::string hosts;
-  for (int i = 0; i < 30; ++i)
-    hosts += "{\"note\":\"" + std::string(100000, 'x') + "\"," + server.substr(1) + ",";
-  return list(seq, true, hosts + server);
-}
-
-void expect_served(const NodeFixture& w, const ScriptedPeer& by) {
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket server = by.accept();
-  server.message();
-  server.send(with_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "answer"));
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+// A snapshot of some 3 MB that takes little work: one endpoint, and unknown fields.
+std::string large_snapshot_event(int sequence, const std::string& entry) {
+  std::string entries;
+  for (int i = 0; i < 30; ++i) {
+    entries += "{\"note\":\"" + std::string(100000, 'x') + "\"," + entry.substr(1) + ",";
+  }
+  return snapshot_event(static_cast<unsigned>(sequence), entries + entry);
 }
 
 TEST(Membership, AListIsTakenWhateverItsLength) {
-  ManagedWorld w;
-  w.memory_mb = 32;
-  w.start();
-  w.take_watch();
-  w.tell(long_list(7, kMany, host("s0", w.servers[0].port()), w.servers[0].port()));
-  w.await_ready();
-  EXPECT_EQ(w.metric("members"), kMany);
-  expect_served(w, w.servers[0]);
-  expect_under_32_mb(*w.node);
-  w.tell_now(list(8, true, host("s1", w.servers[1].port())));
-  w.watch.close();
-  EXPECT_TRUE(has(w.take_watch(), "index=8 "));
-  EXPECT_EQ(w.metric("members"), 1);
-  expect_served(w, w.servers[1]);
+  EndpointListFixture fixture;
+  fixture.config.max_memory_mb = 32;
+  fixture.start();
+  fixture.accept_watch();
+  fixture.send_on_watch(
+      long_snapshot_event(7, kManyEndpoints, fixture.server_entry(0), fixture.servers[0].port()));
+  fixture.wait_until_ready();
+  EXPECT_EQ(fixture.metric("members"), kManyEndpoints);
+  fixture.expect_served_by(fixture.servers[0]);
+  expect_under_32_mb(*fixture.node);
+  fixture.send_on_open_watch(snapshot_event(8, fixture.server_entry(1)));
+  fixture.watch.close();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=8 "));
+  EXPECT_EQ(fixture.metric("members"), 1);
+  fixture.expect_served_by(fixture.servers[1]);
 }
 
 TEST(Membership, AKnownListIsTakenWhateverItsLength) {
-  ManagedWorld w;
-  w.memory_mb = 32;
-  std::string known = long_list(7, kMany, host("s0", w.servers[0].port()), w.servers[0].port());
-  known.pop_back();
-  w.known = "\"known\":" + known + ",";
-  w.start();
-  EXPECT_TRUE(has(w.take_watch(), "index=7 ")) << "only what has changed since";
-  w.await_ready();
-  EXPECT_EQ(w.metric("members"), kMany);
-  expect_under_32_mb(*w.node);
+  EndpointListFixture fixture;
+  fixture.config.max_memory_mb = 32;
+  fixture.config.known_endpoints =
+      long_snapshot(7, kManyEndpoints, fixture.server_entry(0), fixture.servers[0].port());
+  fixture.start();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=7 ")) << "only the changes since the cached list";
+  fixture.wait_until_ready();
+  EXPECT_EQ(fixture.metric("members"), kManyEndpoints);
+  expect_under_32_mb(*fixture.node);
 }
 
-// All or nothing: what has been read of a list that is cut, or spoilt in its last entry, changes nothing.
+// A truncated list, or one with an invalid last entry, is rejected as a whole.
 TEST(Membership, ALongListThatIsCutOrSpoiltChangesNothing) {
-  ManagedWorld w;
-  w.serve(host("s0", w.servers[0].port()));
-  std::string spoilt = long_list(8, 3000, host("s1", w.servers[1].port(), "odd"));
-  w.tell(spoilt.substr(0, spoilt.size() - 200));
-  w.watch.close();
-  EXPECT_TRUE(has(w.take_watch(), "index=7 "))
-      << "the last good one holds, and what came is no reason to ask for all";
-  w.tell(spoilt);
-  EXPECT_TRUE(w.watch.ended());
-  EXPECT_TRUE(has(w.take_watch(), kWhole)) << "the changes since can't be taken";
-  w.tell(spoilt);
-  EXPECT_TRUE(w.watch.ended());
-  EXPECT_TRUE(has(w.take_watch(), "index=7 ")) << "nor can the whole list: the changes may be sound again";
-  EXPECT_EQ(w.metric("members"), 1);
-  expect_served(w, w.servers[0]);
-  w.tell_now(list(9, false, host("s1", w.servers[1].port()) + "," + host("s0", 1, "leaving")));
-  w.watch.close();
-  EXPECT_TRUE(has(w.take_watch(), "index=9 "));
-  expect_served(w, w.servers[1]);
+  EndpointListFixture fixture;
+  fixture.start_with_one_server();
+  const std::string invalid = long_snapshot_event(8, 3000, fixture.server_entry(1, "odd"));
+  fixture.send_on_watch(invalid.substr(0, invalid.size() - 200));
+  fixture.watch.close();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=7 "))
+      << "the last valid list stays, and a truncated one does not ask for a snapshot";
+  fixture.send_on_watch(invalid);
+  EXPECT_TRUE(fixture.watch.closed_by_peer());
+  EXPECT_TRUE(contains(fixture.accept_watch(), kSnapshotRequestLine)) << "the changes are invalid";
+  fixture.send_on_watch(invalid);
+  EXPECT_TRUE(fixture.watch.closed_by_peer());
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=7 "))
+      << "the snapshot is invalid too: the changes may be valid again";
+  EXPECT_EQ(fixture.metric("members"), 1);
+  fixture.expect_served_by(fixture.servers[0]);
+  fixture.send_on_open_watch(
+      incremental_event(9, fixture.server_entry(1) + "," + endpoint("s0", kUnreachablePort, "leaving")));
+  fixture.watch.close();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=9 "));
+  fixture.expect_served_by(fixture.servers[1]);
 }
 
 TEST(Membership, AListTooLargeForTheMemoryIsRejectedWithOneLine) {
-  ManagedWorld w;
-  w.memory_mb = 16;
-  w.serve(host("s0", w.servers[0].port()));
-  const std::string large = long_list(8, kTooMany, host("s1", w.servers[1].port()));
+  EndpointListFixture fixture;
+  fixture.config.max_memory_mb = 16;
+  fixture.start_with_one_server();
+  const std::string too_large = long_snapshot_event(8, kTooManyEndpoints, fixture.server_entry(1));
   for (int i = 0; i < 2; ++i) {
-    w.watch.push(chunk(large));
-    w.watch.close();
-    w.take_watch();
+    fixture.watch.send_available(chunk(too_large));
+    fixture.watch.close();
+    fixture.accept_watch();
   }
-  w.tell(list(9, true, host("s1", w.servers[1].port())));
-  const std::string log = w.node->log("discovery: reconnected");
+  fixture.announce_snapshot(9, fixture.server_entry(1));
+  const std::string log = fixture.node->read_log_until("discovery: reconnected");
   const std::size_t line = log.find("a list too large for this node's memory");
   ASSERT_NE(line, std::string::npos) << log;
   EXPECT_EQ(log.find("a list too large", line + 1), std::string::npos) << log;
-  EXPECT_EQ(w.metric("members"), 1);
-  expect_served(w, w.servers[1]);
+  EXPECT_EQ(fixture.metric("members"), 1);
+  fixture.expect_served_by(fixture.servers[1]);
 }
 
-// Lists that are cut each time: when too much has come for nothing the node stops asking for more, and serves
-// on.
+// Every list is truncated: past a byte budget the node stops polling, and continues to serve.
 TEST(Membership, WhatIsOfNoUseIsNotAskedForWithoutEnd) {
-  for (const bool asks : {false, true}) {
-    ManagedWorld w;
-    w.asks = asks;
-    w.serve(host("s0", w.servers[0].port()));
-    const std::string cut = chunk(heavy_list(8, host("s0", w.servers[0].port()))).substr(0, 3000000);
+  for (const bool awaits_watch : {false, true}) {
+    EndpointListFixture fixture;
+    fixture.config.awaits_watch = awaits_watch;
+    fixture.start_with_one_server();
+    const std::string truncated = chunk(large_snapshot_event(8, fixture.server_entry(0))).substr(0, 3000000);
     for (int i = 0; i < 3; ++i) {
-      if (i > 0) w.take_watch();
-      w.watch.send(cut);
-      w.watch.finish();
-      EXPECT_TRUE(w.watch.ended());
+      if (i > 0) fixture.accept_watch();
+      fixture.watch.send(truncated);
+      fixture.watch.shutdown_send();
+      EXPECT_TRUE(fixture.watch.closed_by_peer());
     }
-    EXPECT_TRUE(has(w.node->log("bytes received in vain"), "bytes received in vain"));
-    expect_served(w, w.servers[0]);
-    const ScriptedPeer elsewhere;  // who is sent elsewhere asks there at once
-    w.node->reload(moved(w, elsewhere));
-    TestSocket next = elsewhere.accept();
-    EXPECT_TRUE(has(next.message(), kWhole));
-    next.send(kWatchHead + chunk(list(3, true, host("s1", w.servers[1].port()))));
-    EXPECT_TRUE(has(w.node->log("discovery: reconnected"), "discovery: reconnected"));
-    expect_served(w, w.servers[1]);
+    EXPECT_TRUE(contains(fixture.node->read_log_until("bytes received in vain"), "bytes received in vain"));
+    fixture.expect_served_by(fixture.servers[0]);
+    const ListeningSocket other_discovery;  // a new address is polled at once
+    fixture.node->reload(fixture.config_with_discovery(other_discovery));
+    TestSocket watch = other_discovery.accept();
+    EXPECT_TRUE(contains(watch.read_message(), kSnapshotRequestLine));
+    watch.send(kChunkedResponseHead + chunk(snapshot_event(3, fixture.server_entry(1))));
+    EXPECT_TRUE(contains(fixture.node->read_log_until("discovery: reconnected"), "discovery: reconnected"));
+    fixture.expect_served_by(fixture.servers[1]);
   }
 }
 
-// Whole lists that can be taken cost no more in the long run, where each call is answered by one and its
-// watch then breaks. On a watch that stays they were not asked for, and hold back no call.
+// Each poll gets a valid snapshot, after which the watch breaks: these use up the byte budget too. Snapshots
+// on a watch that stays open were not polled for and delay no poll.
 TEST(Membership, WholeListsThatAreToldOverAndOverAreNotAskedForWithoutEnd) {
-  ManagedWorld w;
-  w.asks = false;
-  w.serve(host("s0", w.servers[0].port()));
-  for (int seq = 8; seq < 12; ++seq) w.tell_now(heavy_list(seq, host("s0", w.servers[0].port())));
-  w.watch.close();
-  for (int seq = 12; seq < 15; ++seq) {
-    EXPECT_TRUE(has(w.take_watch(), "index=" + std::to_string(seq - 1) + " "));
-    w.tell(heavy_list(seq, host("s0", w.servers[0].port())));
-    w.watch.close();
+  EndpointListFixture fixture;
+  fixture.config.awaits_watch = false;
+  fixture.start_with_one_server();
+  for (int sequence = 8; sequence < 12; ++sequence) {
+    fixture.send_on_open_watch(large_snapshot_event(sequence, fixture.server_entry(0)));
+  }
+  fixture.watch.close();
+  for (int sequence = 12; sequence < 15; ++sequence) {
+    EXPECT_TRUE(contains(fixture.accept_watch(), "index=" + std::to_string(sequence - 1) + " "));
+    fixture.send_on_watch(large_snapshot_event(sequence, fixture.server_entry(0)));
+    fixture.watch.close();
   }
-  EXPECT_TRUE(has(w.node->log("bytes received in vain"), "bytes received in vain"));
-  expect_served(w, w.servers[0]);
+  EXPECT_TRUE(contains(fixture.node->read_log_until("bytes received in vain"), "bytes received in vain"));
+  fixture.expect_served_by(fixture.servers[0]);
 }
 
-// Calls that fail in every way, one after the other; then the change is heard.
+// Polls fail in every way, one after the other; then a change is received.
 TEST(Membership, AChangeIsHeardWhateverHasFailedBefore) {
-  for (const bool asks : {false, true}) {
-    ManagedWorld w;
-    w.asks = asks;
-    w.serve(host("s0", w.servers[0].port()));
-    TestSocket silent = std::move(w.watch);
-    EXPECT_TRUE(silent.ended());
-    w.discovery.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));
-    w.discovery.accept().reset();
-    w.take_watch();
-    w.watch.send("20\r\n{\"seq\":8,\"whole\":true,\"ho");
-    w.watch.close();
-    silent = w.discovery.accept();  // never answered
-    EXPECT_TRUE(has(silent.message(), "index=7 "));
-    EXPECT_TRUE(silent.ended());
-    silent = w.discovery.accept();  // answered, and then silent amid a list
-    EXPECT_TRUE(has(silent.message(), "index=7 "));
-    silent.send(std::string(kWatchHead) + "20\r\n{\"seq\":8,\"whole\":true,\"ho");
-    EXPECT_TRUE(silent.ended());
-    EXPECT_TRUE(has(w.take_watch(), "index=7 "));
-    w.tell(list(8, false, host("s0", 1, "leaving") + "," + host("s1", w.servers[1].port())));
-    EXPECT_TRUE(has(w.node->log("discovery: reconnected"), "discovery: reconnected"));
-    expect_served(w, w.servers[1]);
+  for (const bool awaits_watch : {false, true}) {
+    EndpointListFixture fixture;
+    fixture.config.awaits_watch = awaits_watch;
+    fixture.start_with_one_server();
+    TestSocket silent = std::move(fixture.watch);
+    EXPECT_TRUE(silent.closed_by_peer());
+    fixture.discovery.accept().send(with_content_length("HTTP/1.1 503 Busy\r\n", ""));
+    fixture.discovery.accept().reset();
+    fixture.accept_watch();
+    fixture.watch.send(kTruncatedChunk);
+    fixture.watch.close();
+    silent = fixture.discovery.accept();  // no response at all
+    EXPECT_TRUE(contains(silent.read_message(), "index=7 "));
+    EXPECT_TRUE(silent.closed_by_peer());
+    silent = fixture.discovery.accept();  // a response that stalls within a list
+    EXPECT_TRUE(contains(silent.read_message(), "index=7 "));
+    silent.send(std::string(kChunkedResponseHead) + kTruncatedChunk);
+    EXPECT_TRUE(silent.closed_by_peer());
+    EXPECT_TRUE(contains(fixture.accept_watch(), "index=7 "));
+    fixture.announce_changes(8, endpoint("s0", kUnreachablePort, "leaving") + "," + fixture.server_entry(1));
+    EXPECT_TRUE(contains(fixture.node->read_log_until("discovery: reconnected"), "discovery: reconnected"));
+    fixture.expect_served_by(fixture.servers[1]);
   }
 }
 
--- a/tests/node/reload_test.cpp
+++ b/tests/node/reload_test.cpp
@@ -1,6 +1,5 @@
-// Configuration: reload with SIGHUP, and what cannot be used.
-#include <sstream>
-#include <vector>
+// Configuration: reload with SIGHUP, and invalid configurations.
+#include <string>
 
 #include "support/node_fixture.h"
 
@@ -8,40 +7,45 @@
 namespace {
 
 TEST(Configuration, KeepsItsConfigurationWhereTheNextCantBeUsed) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  const ScriptedPeer elsewhere;
-  const std::string good = moved(w, elsewhere);
-  w.node->reload_without_file();
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  const ListeningSocket other_discovery;
+  const std::string valid_config = fixture.config_with_discovery(other_discovery);
+  NodeProcess& node = *fixture.node;
+  node.reload_without_file();
+  EXPECT_TRUE(contains(node.read_log_until("configuration unchanged: cannot read"),
+                       "configuration unchanged: cannot read"));
+  node.reload(valid_config.substr(0, valid_config.size() / 2));
+  EXPECT_TRUE(contains(node.read_log_until("configuration unchanged: not valid"),
+                       "configuration unchanged: not valid"));
+  node.reload(R"({"discovery":"nowhere"})");
   EXPECT_TRUE(
-      has(w.node->log("configuration unchanged: cannot read"), "configuration unchanged: cannot read"));
-  w.node->reload(good.substr(0, good.size() / 2));
-  EXPECT_TRUE(has(w.node->log("configuration unchanged: not valid"), "configuration unchanged: not valid"));
-  w.node->reload(R"({"discovery":"nowhere"})");
-  EXPECT_TRUE(has(w.node->log("configuration unchanged: field"), "configuration unchanged: field"));
-  EXPECT_TRUE(w.watch.quiet());
-  EXPECT_TRUE(elsewhere.quiet());
-  w.node->reload(good);
-  EXPECT_TRUE(has(elsewhere.accept().message(), "GET /v1/servers?stream=1 HTTP/1.1\r\n"));
+      contains(node.read_log_until("configuration unchanged: field"), "configuration unchanged: field"));
+  EXPECT_TRUE(fixture.watch.is_idle());
+  EXPECT_TRUE(other_discovery.is_idle());
+  node.reload(valid_config);
+  EXPECT_TRUE(contains(other_discovery.accept().read_message(), kSnapshotRequestLine));
 }
 
 TEST(Configuration, SaysPlainlyWhatIsWrongWithItsConfiguration) {
-  const NodeFixture w;
-  const std::string good = w.config();
-  std::string bad_seed = good;
-  bad_seed.replace(bad_seed.find("8c1f"), 4, "xyz!");
-  std::string bad_settings = good;
-  bad_settings.replace(bad_settings.find("\"peersTotal\":1"), 14, "\"peersTotal\":0");
-  for (const std::string& config : {std::string(), std::string("{"), bad_seed, bad_settings}) {
+  const NodeFixture fixture;
+  const std::string valid_config = fixture.config.to_json();
+  std::string invalid_seed = valid_config;
+  invalid_seed.replace(invalid_seed.find("8c1f"), 4, "xyz!");
+  std::string invalid_settings = valid_config;
+  invalid_settings.replace(invalid_settings.find("\"peersTotal\":1"), 14, "\"peersTotal\":0");
+  for (const std::string& config : {std::string(), std::string("{"), invalid_seed, invalid_settings}) {
     NodeProcess node(config);
-    EXPECT_EQ(node.exit_code(), 2);
-    const std::string& log = node.log("");
+    EXPECT_EQ(node.wait_for_exit(), 2);
+    const std::string& log = node.read_log_until("");
     EXPECT_EQ(log.find('\n'), log.size() - 1) << log;
-    EXPECT_TRUE(has(log, "load-balancer-node: ")) << log;
+    EXPECT_TRUE(contains(log, "load-balancer-node: ")) << log;
   }
-  std::string taken = good;
-  taken.replace(taken.find("127.0.0.1:0"), 11, "127.0.0.1:" + std::to_string(w.servers[0].port()));
-  EXPECT_EQ(NodeProcess(taken).exit_code(), 1);
+  std::string occupied_port = valid_config;
+  occupied_port.replace(occupied_port.find("127.0.0.1:0"), 11,
+                        "127.0.0.1:" + std::to_string(fixture.servers[0].port()));
+  EXPECT_EQ(NodeProcess(occupied_port).wait_for_exit(), 1);
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/replacement_test.cpp
+++ b/tests/node/replacement_test.cpp
@@ -1,266 +1,257 @@
-// A node's process started beside the one that serves, and what becomes of both.
+// Replacement of a node's process by a successor at the same address.
 #include <fcntl.h>
 #include <sys/stat.h>
+#include <unistd.h>
 
+#include <csignal>
 #include <filesystem>
+#include <fstream>
+#include <memory>
+#include <utility>
 #include <vector>
 
-#include "support/node_fixture.h"
+#include "support/fixed_address_fixture.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
-using Environment = std::vector<std::pair<std::string, std::string>>;
+constexpr const char* kSoleProcessLog = "only process of this node again";
 
-// A node that may have several processes, all at one address and with one folder.
-struct ReplacementFixture : NodeFixture {
-  ReplacementFixture() {
-    folder = ::testing::TempDir() + "/replace_" + std::to_string(getpid()) + "_" + std::to_string(count++);
-    std::filesystem::create_directory(folder);
-    port = reserved.port;
-    more = R"("management":"127.0.0.1:0",)";
-  }
-  ~ReplacementFixture() { std::filesystem::remove_all(folder); }
-  Environment environment() const { return {{"TMPDIR", folder}}; }
+struct ReplacementFixture : FixedAddressFixture {
+  // A connection of the server, and the request on it that has no response yet.
+  struct ServerConnection {
+    TestSocket socket;
+    std::string pending_request;
+  };
 
-  // A further process, with its watch; it has no list yet.
-  std::unique_ptr<NodeProcess> begin() {
-    auto out = std::make_unique<NodeProcess>(config(), 1024, environment());
-    watch = discovery.accept();
-    watch.message();
-    watch.send(kWatchHead);
-    return out;
+  // Starts a further process and accepts its watch; it has no list yet.
+  std::unique_ptr<NodeProcess> start_with_watch() {
+    auto process = start_process();
+    accept_watch();
+    return process;
   }
-  std::unique_ptr<NodeProcess> serving(TestSocket& its_watch) {
-    auto out = begin();
-    tell(list(7, true, host("s0", servers[0].port())));
-    until([&] { return ready(*out); });
-    its_watch = std::move(watch);
-    return out;
+  std::unique_ptr<NodeProcess> start_ready(TestSocket& process_watch) {
+    auto process = start_with_watch();
+    announce_snapshot(7, server_entry(0));
+    wait_until([&] { return process->is_ready(); });
+    process_watch = std::move(watch);
+    return process;
   }
-  static bool ready(NodeProcess& program) {
-    TestSocket caller = TestSocket::to(program.admin_port());
-    caller.send("GET /ready HTTP/1.1\r\n\r\n");
-    return has(caller.message(), " 200 ");
+  static long pending_requests(NodeProcess& process) {
+    const std::string metrics = process.metrics();
+    return std::stol(metrics.substr(metrics.find("app.pending:") + 12));
   }
-  static long pending(NodeProcess& program) {
-    TestSocket caller = TestSocket::to(program.admin_port());
-    caller.send("GET /metrics HTTP/1.1\r\n\r\n");
-    const std::string all = caller.message();
-    return std::stol(all.substr(all.find("app.pending:") + 12));
+  std::string lock_path() const {
+    return folder.path() + "/nettlestand-127.0.0.1-" + std::to_string(config.listen_port) + ".lock";
   }
-  // A request on a new connection, and its answer. Empty where it is turned back unheard.
-  std::string ask(const std::string& id) {
-    TestSocket caller = TestSocket::to(port);
-    caller.send(request("close", "", "question", id));
-    answer_next(id);
-    return caller.message();
+  // Sends a request on a new connection. Returns its response; empty where the connection is closed.
+  std::string response_to(const std::string& id) {
+    TestSocket client = connect_to_node();
+    client.send(request_with_id("close", id));
+    serve(id);
+    return client.read_message();
   }
-  // The server's part: on whichever connection the request comes.
-  void answer_next(const std::string& id) {
-    until([&] {
-      if (!servers[0].quiet()) held.emplace_back(servers[0].accept(), "");
-      for (auto& [server, message] : held) {
-        if (message.empty() && !server.quiet()) message = server.message();
-        if (!has(message, "Request-Id: " + id + "\r\n")) continue;
-        message.clear();
-        server.send(ok());
+  // Responds to the request with this id, on whichever connection of the server it comes.
+  void serve(const std::string& id) {
+    wait_until([&] {
+      if (!servers[0].is_idle()) server_connections.push_back({servers[0].accept(), ""});
+      for (auto& [socket, pending_request] : server_connections) {
+        if (pending_request.empty() && !socket.is_idle()) pending_request = socket.read_message();
+        if (!contains(pending_request, "Request-Id: " + id + "\r\n")) continue;
+        pending_request.clear();
+        socket.send(ok_response());
         return true;
       }
       return false;
     });
   }
+  // Connects a client that is served and stays connected.
+  TestSocket connect_served_client() const {
+    TestSocket client = connect_to_node();
+    client.send("GET /healthz HTTP/1.1\r\n\r\n");
+    client.read_message();
+    return client;
+  }
 
-  ReservedPort reserved;
-  std::string folder;
-  std::vector<std::pair<TestSocket, std::string>>
-      held;  // servers' connections, and the request that each owes
-  static inline int count = 0;
+  std::vector<ServerConnection> server_connections;
 };
 
 TEST(Replacement, TakesOverWithoutTurningAnybodyBack) {
-  ReplacementFixture at;
+  ReplacementFixture fixture;
   TestSocket old_watch, new_watch;
-  const auto old = at.serving(old_watch);
-  TestSocket idle = TestSocket::to(at.port), kept = TestSocket::to(at.port), fresh = TestSocket::to(at.port);
+  const auto predecessor = fixture.start_ready(old_watch);
+  TestSocket idle = fixture.connect_to_node(), keep_alive = fixture.connect_to_node(),
+             unused = fixture.connect_to_node();
   idle.send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(idle.message(), " 200 "));
-  kept.send(request("close", "", "question", "k"));
-  until([&] { return at.pending(*old) == 1; });
+  EXPECT_TRUE(contains(idle.read_message(), " 200 "));
+  keep_alive.send(request_with_id("close", "k"));
+  wait_until([&] { return ReplacementFixture::pending_requests(*predecessor) == 1; });
 
-  const auto next = at.begin();
+  const auto successor = fixture.start_with_watch();
   for (int i = 0; i < 30; ++i) {
-    EXPECT_TRUE(has(at.ask("a" + std::to_string(i)), " 200 ")) << "only the old one can serve yet";
+    EXPECT_TRUE(contains(fixture.response_to("a" + std::to_string(i)), " 200 "))
+        << "only the predecessor can serve yet";
   }
-  EXPECT_FALSE(at.ready(*next));
-  at.tell(list(7, true, host("s0", at.servers[0].port())));
-  until([&] { return at.ready(*next); });
-  new_watch = std::move(at.watch);
-  EXPECT_TRUE(has(old->log("limits split"), "limits split between the node's processes: 2"));
+  EXPECT_FALSE(successor->is_ready());
+  fixture.announce_snapshot(7, fixture.server_entry(0));
+  wait_until([&] { return successor->is_ready(); });
+  new_watch = std::move(fixture.watch);
+  EXPECT_TRUE(
+      contains(predecessor->read_log_until("limits split"), "limits split between the node's processes: 2"));
   for (int i = 0; i < 30; ++i) {
-    if (i == 15) old->signal(SIGTERM);
-    EXPECT_TRUE(has(at.ask("b" + std::to_string(i)), " 200 "));
+    if (i == 15) predecessor->signal(SIGTERM);
+    EXPECT_TRUE(contains(fixture.response_to("b" + std::to_string(i)), " 200 "));
   }
 
-  // The old one's clients are sent to the new one as they get their answers.
-  old->log("draining");
-  fresh.send(request("close", "", "question", "f"));
-  for (auto [caller, id] : {std::pair{&kept, "k"}, {&fresh, "f"}}) {
-    at.answer_next(id);
-    const std::string last = caller->message();
-    EXPECT_TRUE(has(last, " 200 ")) << last;
-    EXPECT_TRUE(has(last, "Connection: close\r\n")) << last;
-    EXPECT_TRUE(caller->ended());
+  // The predecessor's clients get their responses and have to connect to the successor.
+  predecessor->read_log_until("draining");
+  unused.send(request_with_id("close", "f"));
+  for (auto [client, id] : {std::pair{&keep_alive, "k"}, {&unused, "f"}}) {
+    fixture.serve(id);
+    const std::string response = client->read_message();
+    EXPECT_TRUE(contains(response, " 200 ")) << response;
+    EXPECT_TRUE(contains(response, "Connection: close\r\n")) << response;
+    EXPECT_TRUE(client->closed_by_peer());
   }
-  EXPECT_TRUE(idle.ended()) << "what is idle is closed in the end";
-  EXPECT_EQ(old->exit_code(), 0);
-  EXPECT_TRUE(has(next->log("only process of this node again"), "only process of this node again"));
-  EXPECT_TRUE(has(at.ask("c"), " 200 "));
+  EXPECT_TRUE(idle.closed_by_peer()) << "idle connections are closed at the end of the drain";
+  EXPECT_EQ(predecessor->wait_for_exit(), 0);
+  EXPECT_TRUE(contains(successor->read_log_until(kSoleProcessLog), kSoleProcessLog));
+  EXPECT_TRUE(contains(fixture.response_to("c"), " 200 "));
 }
 
 TEST(Replacement, TheOldOneServesOnWhereTheNextDies) {
-  ReplacementFixture at;
+  ReplacementFixture fixture;
   TestSocket old_watch;
-  const auto old = at.serving(old_watch);
+  const auto predecessor = fixture.start_ready(old_watch);
   {
-    const auto next = at.begin();
-    old->log("limits split");
-    EXPECT_TRUE(has(at.ask("a"), " 200 "));
-    next->signal(SIGKILL);
-    next->exit_code();
+    const auto successor = fixture.start_with_watch();
+    predecessor->read_log_until("limits split");
+    EXPECT_TRUE(contains(fixture.response_to("a"), " 200 "));
+    successor->signal(SIGKILL);
+    successor->wait_for_exit();
   }
-  EXPECT_TRUE(has(old->log("only process of this node again"), "only process of this node again"));
-  EXPECT_TRUE(has(at.ask("b"), " 200 "));
-  NodeProcess broken("{", 1024, at.environment());
-  EXPECT_EQ(broken.exit_code(), 2);
-  EXPECT_TRUE(has(at.ask("c"), " 200 "));
+  EXPECT_TRUE(contains(predecessor->read_log_until(kSoleProcessLog), kSoleProcessLog));
+  EXPECT_TRUE(contains(fixture.response_to("b"), " 200 "));
+  NodeProcess misconfigured("{", {.environment = fixture.environment()});
+  EXPECT_EQ(misconfigured.wait_for_exit(), 2);
+  EXPECT_TRUE(contains(fixture.response_to("c"), " 200 "));
 }
 
 TEST(Replacement, OneAfterAnother) {
-  ReplacementFixture at;
+  ReplacementFixture fixture;
   std::vector<std::unique_ptr<NodeProcess>> processes;
   std::vector<TestSocket> watches(4);
-  processes.push_back(at.serving(watches[0]));
+  processes.push_back(fixture.start_ready(watches[0]));
   for (std::size_t i = 1; i < watches.size(); ++i) {
-    processes.push_back(at.serving(watches[i]));
+    processes.push_back(fixture.start_ready(watches[i]));
     processes[i - 1]->signal(i == 2 ? SIGKILL : SIGTERM);  // the second is killed outright
-    EXPECT_EQ(processes[i - 1]->exit_code(), i == 2 ? -SIGKILL : 0);
-    EXPECT_TRUE(has(at.ask("r" + std::to_string(i)), " 200 "));
+    EXPECT_EQ(processes[i - 1]->wait_for_exit(), i == 2 ? -SIGKILL : 0);
+    EXPECT_TRUE(contains(fixture.response_to("r" + std::to_string(i)), " 200 "));
   }
 }
 
 TEST(Replacement, BothObeyTheListAndSighup) {
-  ReplacementFixture at;
+  ReplacementFixture fixture;
   TestSocket old_watch, new_watch;
-  const auto old = at.serving(old_watch);
-  const auto next = at.serving(new_watch);
-  for (TestSocket* watch : {&old_watch, &new_watch}) {
-    watch->send(chunk(list(8, true, host("s0", at.servers[0].port(), "leaving"))));
+  const auto predecessor = fixture.start_ready(old_watch);
+  const auto successor = fixture.start_ready(new_watch);
+  for (const TestSocket* watch : {&old_watch, &new_watch}) {
+    watch->send(chunk(snapshot_event(8, fixture.server_entry(0, "leaving"))));
   }
-  for (NodeProcess* program : {old.get(), next.get()}) {
-    until([&] {
-      TestSocket caller = TestSocket::to(program->admin_port());
-      caller.send("GET /metrics HTTP/1.1\r\n\r\n");
-      return has(caller.message(), "app.members_unavailable:1|g");
-    });
-    program->reload_without_file();
-    program->log("configuration unchanged");
-    EXPECT_TRUE(has(program->log("\n"), "configuration unchanged"));
+  for (NodeProcess* process : {predecessor.get(), successor.get()}) {
+    wait_until([&] { return contains(process->metrics(), "app.members_unavailable:1|g"); });
+    process->reload_without_file();
+    process->read_log_until("configuration unchanged");
+    EXPECT_TRUE(contains(process->read_log_until("\n"), "configuration unchanged"));
   }
-  TestSocket caller = TestSocket::to(at.port);
-  caller.send(request("close"));
-  EXPECT_TRUE(has(caller.message(), " 503 "));
-  EXPECT_TRUE(at.servers[0].quiet());
+  TestSocket client = fixture.connect_to_node();
+  client.send(request("close"));
+  EXPECT_TRUE(contains(client.read_message(), " 503 "));
+  EXPECT_TRUE(fixture.servers[0].is_idle());
 }
 
-// What stands in the folder must not keep a process from its start; and without a folder that can be used, a
-// second process has no part in the address.
+// Whatever is in the lock file's place must not prevent a start; without a usable folder a second process
+// can't share the address.
 TEST(Replacement, LeftoversAndOddFoldersAreAnOrdinaryStart) {
   for (const std::string kind : {"stale", "directory", "link", "pipe", "no folder", "none"}) {
-    ReplacementFixture at;
-    const std::string file = at.folder + "/nettlestand-127.0.0.1-" + std::to_string(at.port) + ".lock";
-    Environment environment = at.environment();
+    ReplacementFixture fixture;
+    const std::string file = fixture.lock_path();
+    Environment environment = fixture.environment();
     if (kind == "stale") std::ofstream(file) << "12345\nwhatever";
     if (kind == "directory") std::filesystem::create_directory(file);
     if (kind == "link") std::filesystem::create_symlink("/nowhere/at/all", file);
     if (kind == "pipe") mkfifo(file.c_str(), 0600);
-    if (kind == "no folder") environment = {{"TMPDIR", at.folder + "/missing"}};
+    if (kind == "no folder") environment = {{"TMPDIR", fixture.folder.path() + "/missing"}};
     if (kind == "none") environment = {{"TMPDIR", ""}};
-    NodeProcess first(at.config(), 1024, environment);
+    NodeProcess first(fixture.config.to_json(), {.environment = environment});
     first.port();
-    at.watch = at.discovery.accept();
-    at.watch.message();
-    at.watch.send(kWatchHead);
-    at.tell(list(7, true, host("s0", at.servers[0].port())));
-    until([&] { return at.ready(first); });
-    EXPECT_TRUE(has(at.ask("a"), " 200 ")) << kind;
+    fixture.accept_watch();
+    fixture.announce_snapshot(7, fixture.server_entry(0));
+    wait_until([&] { return first.is_ready(); });
+    EXPECT_TRUE(contains(fixture.response_to("a"), " 200 ")) << kind;
     if (kind == "stale") continue;
-    NodeProcess second(at.config(), 1024, environment);
-    EXPECT_EQ(second.exit_code(), 1) << kind;
+    NodeProcess second(fixture.config.to_json(), {.environment = environment});
+    EXPECT_EQ(second.wait_for_exit(), 1) << kind;
   }
 }
 
-// A process of an older version holds locks on the bytes of a file with the program's former name: byte 0
-// while it is alive, byte 1 while it shares the limits, byte 2 while it serves. Changing either would make
-// the two blind to each other.
+// A lock on one byte of the file.
+struct flock byte_lock(short type, off_t byte) {
+  struct flock lock {};
+  lock.l_type = type;
+  lock.l_whence = SEEK_SET;
+  lock.l_start = byte;
+  lock.l_len = 1;
+  return lock;
+}
+
+// A process of an older version locks bytes of a file with the program's former name: byte 0 while it is
+// alive, byte 1 while it shares the limits, byte 2 while it serves. With another name or other bytes the two
+// processes would not see each other.
 TEST(Replacement, SeesAProcessOfAnOlderVersionByItsLocks) {
-  ReplacementFixture at;
-  const std::string file = at.folder + "/nettlestand-127.0.0.1-" + std::to_string(at.port) + ".lock";
-  const int old = ::open(file.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  ASSERT_GE(old, 0);
-  const auto publish = [&](short type, off_t byte) {
-    struct flock lock {};
-    lock.l_type = type;
-    lock.l_whence = SEEK_SET;
-    lock.l_start = byte;
-    lock.l_len = 1;
-    return ::fcntl(old, F_SETLK, &lock);
+  ReplacementFixture fixture;
+  const int lock_file = ::open(fixture.lock_path().c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  ASSERT_GE(lock_file, 0);
+  const auto lock = [&](off_t byte) {
+    const struct flock exclusive = byte_lock(F_WRLCK, byte);
+    return ::fcntl(lock_file, F_SETLK, &exclusive);
   };
-  ASSERT_EQ(publish(F_WRLCK, 0), 0);
-  ASSERT_EQ(publish(F_WRLCK, 2), 0);
-  const auto next = at.begin();
-  at.tell(list(7, true, host("s0", at.servers[0].port())));
-  ASSERT_EQ(publish(F_WRLCK, 1), 0);  // the old one has split the limits: the new one may listen
-  until([&] { return ReplacementFixture::ready(*next); });
-  EXPECT_TRUE(has(at.ask("a"), " 200 "));
-  // The new one's locks stand behind those of the old one, in the second place of three bytes.
+  ASSERT_EQ(lock(0), 0);
+  ASSERT_EQ(lock(2), 0);
+  const auto successor = fixture.start_with_watch();
+  fixture.announce_snapshot(7, fixture.server_entry(0));
+  ASSERT_EQ(lock(1), 0);  // the predecessor has split the limits: the successor may listen
+  wait_until([&] { return successor->is_ready(); });
+  EXPECT_TRUE(contains(fixture.response_to("a"), " 200 "));
+  // The successor's locks are in the second slot of three bytes.
   for (const off_t byte : {3, 4, 5}) {
-    struct flock query {};
-    query.l_type = F_WRLCK;
-    query.l_whence = SEEK_SET;
-    query.l_start = byte;
-    query.l_len = 1;
-    ASSERT_EQ(::fcntl(old, F_GETLK, &query), 0);
+    struct flock query = byte_lock(F_WRLCK, byte);
+    ASSERT_EQ(::fcntl(lock_file, F_GETLK, &query), 0);
     EXPECT_NE(query.l_type, F_UNLCK) << byte;
   }
-  ::close(old);
-  EXPECT_TRUE(has(next->log("only process of this node again"), "only process of this node again"));
+  ::close(lock_file);
+  EXPECT_TRUE(contains(successor->read_log_until(kSoleProcessLog), kSoleProcessLog));
 }
 
 TEST(Replacement, BothTogetherKeepToTheLimitOnConnections) {
-  ReplacementFixture at;
-  at.sockets = 128;
+  ReplacementFixture fixture;
+  fixture.config.max_sockets = 128;
   TestSocket old_watch, new_watch;
-  const auto old = at.serving(old_watch);
-  std::vector<TestSocket> crowd;
-  for (int i = 0; i < 48; ++i) {  // as many as one process takes
-    crowd.push_back(TestSocket::to(at.port));
-    crowd.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-    crowd.back().message();
-  }
-  const auto next = at.serving(new_watch);
-  for (int i = 0; i < 100; ++i) {
-    crowd.push_back(TestSocket::to(at.port));
-    crowd.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-    crowd.back().message();
-  }
-  std::size_t held = 0;
-  for (const NodeProcess* program : {old.get(), next.get()}) {
-    for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(program->descriptors()))
-      ++held;
+  const auto predecessor = fixture.start_ready(old_watch);
+  std::vector<TestSocket> clients;
+  // As many as one process accepts.
+  for (int i = 0; i < 48; ++i) clients.push_back(fixture.connect_served_client());
+  const auto successor = fixture.start_ready(new_watch);
+  for (int i = 0; i < 100; ++i) clients.push_back(fixture.connect_served_client());
+  std::size_t open_descriptors = 0;
+  for (const NodeProcess* process : {predecessor.get(), successor.get()}) {
+    for ([[maybe_unused]] const auto& entry :
+         std::filesystem::directory_iterator(process->descriptor_folder())) {
+      ++open_descriptors;
+    }
   }
-  EXPECT_LE(held, 128U);
-  EXPECT_TRUE(has(at.ask("a"), " 200 "));
+  EXPECT_LE(open_descriptors, 128U);
+  EXPECT_TRUE(contains(fixture.response_to("a"), " 200 "));
 }
 
 }  // namespace
--- a/tests/node/shutdown_test.cpp
+++ b/tests/node/shutdown_test.cpp
@@ -1,110 +1,98 @@
 // Graceful shutdown after SIGTERM.
-#include <sstream>
-#include <thread>
-#include <vector>
+#include <csignal>
+#include <string>
 
-#include "support/late_server.h"
-#include "support/node_fixture.h"
+#include "support/long_timeout_fixture.h"
+#include "support/slow_accepting_server.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
 TEST(Shutdown, DrainsOnSigterm) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket kept = w.client(), busy = w.client();
-  kept.send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(kept.message(), "HTTP/1.1 200 "));
-  busy.send(request("close"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  w.node->signal(SIGTERM);
-  const double from = seconds();
-  w.node->log("draining");
-  kept.send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(kept.message(), "HTTP/1.1 503 "));
-  kept.send(request("close", "", "question",
-                    "r2"));  // clients go on using what they have, and may have no other node
-  TestSocket second = w.servers[0].accept();
-  second.message();
-  second.send(ok());
-  EXPECT_TRUE(has(kept.message(), " 200 "));
-  TestSocket late = w.client();  // the node has long been told: it still accepts
-  late.send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(late.message(), "HTTP/1.1 503 "));
-  EXPECT_TRUE(late.ended()) << "idle connections are closed before the end";
-  EXPECT_TRUE(kept.ended());
-  EXPECT_GT(seconds() - from, 1.5);
-  server.send(ok());
-  EXPECT_TRUE(has(busy.message(), "Connection: close\r\n"));
-  EXPECT_TRUE(busy.ended());
-  EXPECT_EQ(w.node->exit_code(), 0);
-  EXPECT_LT(seconds() - from, 3.7);
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  TestSocket keep_alive = fixture.connect_client(), busy = fixture.connect_client();
+  keep_alive.send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(keep_alive.read_message(), "HTTP/1.1 200 "));
+  const TestSocket server = fixture.forward(busy);
+  fixture.node->signal(SIGTERM);
+  const Stopwatch stopwatch;
+  fixture.node->read_log_until("draining");
+  keep_alive.send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(keep_alive.read_message(), "HTTP/1.1 503 "));
+  // Clients continue to use their connections, and may have no other node.
+  const TestSocket second_server = fixture.forward(keep_alive, request_with_id("close", "r2"));
+  second_server.send(ok_response());
+  EXPECT_TRUE(contains(keep_alive.read_message(), " 200 "));
+  TestSocket new_client = fixture.connect_client();  // the draining node still accepts
+  new_client.send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(new_client.read_message(), "HTTP/1.1 503 "));
+  EXPECT_TRUE(new_client.closed_by_peer()) << "idle connections are closed before the end";
+  EXPECT_TRUE(keep_alive.closed_by_peer());
+  EXPECT_GT(stopwatch.seconds(), 1.5);
+  server.send(ok_response());
+  EXPECT_TRUE(contains(busy.read_message(), "Connection: close\r\n"));
+  EXPECT_TRUE(busy.closed_by_peer());
+  EXPECT_EQ(fixture.node->wait_for_exit(), 0);
+  EXPECT_LT(stopwatch.seconds(), 3.7);
 }
 
-// The node's own deadline, where neither the module nor the client ends a request in time.
+// The node's own deadline applies where neither the module nor the client ends a request in time.
 TEST(Shutdown, AnswersWhatIsOpenBeforeItIsKilled) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close", "Request-Timeout-Ms: 60000\r\n"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  w.node->signal(SIGTERM);
-  const double from = seconds();
-  EXPECT_TRUE(has(caller.message(), "HTTP/1.1 50"));
-  EXPECT_EQ(w.node->exit_code(), 0);
-  EXPECT_LT(seconds() - from, 4.5);
+  NodeFixture fixture;
+  auto [client, server] =
+      fixture.start_with_forwarded_request(request("close", "Request-Timeout-Ms: 60000\r\n"));
+  fixture.node->signal(SIGTERM);
+  const Stopwatch stopwatch;
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 50"));
+  EXPECT_EQ(fixture.node->wait_for_exit(), 0);
+  EXPECT_LT(stopwatch.seconds(), 4.5);
 }
 
-// What never left is refused, with advice where that is allowed, and is not sent afterwards.
+// A request that was never sent is rejected, with Retry-After where that is allowed, and not sent later.
 TEST(Shutdown, ADrainsEndRejectsWhatHasNotBeenSent) {
-  for (const bool may : {false, true}) {
-    const LateServer late;
-    PatientNodeFixture w;
-    w.may_cancel = w.may_advise = may;
-    w.serve(host("s0", late.port()));
-    TestSocket caller = w.client();
-    caller.send(request("close"));
-    until([&] { return connecting_to(late.port()); });
-    w.node->signal(SIGTERM);
-    const std::string got = caller.message();
-    EXPECT_TRUE(has(got, "HTTP/1.1 503 ")) << got;
-    EXPECT_EQ(has(got, "Retry-After: "), may) << got;
-    EXPECT_FALSE(connecting_to(late.port()));
-    EXPECT_EQ(w.node->exit_code(), 0);
+  for (const bool is_allowed : {false, true}) {
+    const SlowAcceptingServer slow_server;
+    LongTimeoutFixture fixture;
+    fixture.config.may_cancel = fixture.config.may_send_retry_after = is_allowed;
+    TestSocket client = fixture.start_with_waiting_request(slow_server);
+    fixture.node->signal(SIGTERM);
+    const std::string response = client.read_message();
+    EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << response;
+    EXPECT_EQ(contains(response, "Retry-After: "), is_allowed) << response;
+    EXPECT_FALSE(connection_attempt_to(slow_server.port()));
+    EXPECT_EQ(fixture.node->wait_for_exit(), 0);
   }
 }
 
-// A request that comes in the middle of the drain, and one whose last byte comes when the last answers are
+// One request arrives in the middle of the drain, and the last byte of another when the last responses are
 // due.
 TEST(Shutdown, ASecondSigtermChangesNothingAndLateRequestsAreAnswered) {
-  PatientNodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket early = w.client(), late = w.client();
-  early.send(request("close", "", "question", "early"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  w.node->signal(SIGTERM);
-  w.node->log("draining");
-  const double from = seconds();
-  w.node->signal(SIGTERM);
-  server.send(ok());
-  EXPECT_TRUE(has(early.message(), " 200 "));
-  early.send(request("close", "", "question", "again"));
-  EXPECT_TRUE(has(server.message(), "Request-Id: again\r\n"));
-  const std::string text = request("close", "", "question", "late");
-  late.send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(has(late.message(), "HTTP/1.1 503 "));
-  until([&] { return seconds() - from > 2.9; });
-  late.send(text.substr(0, text.size() - 1));
-  until([&] { return seconds() - from > 3.2; });
-  late.send(text.substr(text.size() - 1));
-  for (TestSocket* caller : {&early, &late}) {
-    EXPECT_TRUE(has(caller->message(), "HTTP/1.1 50"));
-    EXPECT_TRUE(caller->ended());
+  LongTimeoutFixture fixture;
+  fixture.start_with_one_server();
+  TestSocket first_client = fixture.connect_client(), second_client = fixture.connect_client();
+  TestSocket server = fixture.forward(first_client, request_with_id("close", "early"));
+  fixture.node->signal(SIGTERM);
+  fixture.node->read_log_until("draining");
+  const Stopwatch stopwatch;
+  fixture.node->signal(SIGTERM);
+  server.send(ok_response());
+  EXPECT_TRUE(contains(first_client.read_message(), " 200 "));
+  first_client.send(request_with_id("close", "again"));
+  EXPECT_TRUE(contains(server.read_message(), "Request-Id: again\r\n"));
+  const std::string late_request = request_with_id("close", "late");
+  second_client.send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(second_client.read_message(), "HTTP/1.1 503 "));
+  wait_until([&] { return stopwatch.seconds() > 2.9; });
+  second_client.send(late_request.substr(0, late_request.size() - 1));
+  wait_until([&] { return stopwatch.seconds() > 3.2; });
+  second_client.send(late_request.substr(late_request.size() - 1));
+  for (TestSocket* client : {&first_client, &second_client}) {
+    EXPECT_TRUE(contains(client->read_message(), "HTTP/1.1 50"));
+    EXPECT_TRUE(client->closed_by_peer());
   }
-  EXPECT_EQ(w.node->exit_code(), 0);
+  EXPECT_EQ(fixture.node->wait_for_exit(), 0);
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/startup_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -1,171 +1,150 @@
-// Start and restart: when a node is ready.
-#include <filesystem>
-#include <thread>
+// Start and restart of a node: when it becomes ready.
+#include <csignal>
+#include <memory>
 #include <vector>
 
-#include "support/late_server.h"
-#include "support/node_fixture.h"
+#include "support/fixed_address_fixture.h"
+#include "support/long_timeout_fixture.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
-// What a new process knows from before may be old, and what its agent has counts as told from its start.
+// The cached list of a new process may be outdated, and its agent counts changes as acknowledged from the
+// process's start.
 TEST(Startup, ANewProcessSendsNothingBeforeItHasHeardOfTheServers) {
-  PatientNodeFixture w;
-  std::string known = list(3, true, host("s0", w.servers[0].port()));
-  known.pop_back();
-  w.known = "\"known\":" + known + ",";
-  w.start();
-  w.discovery.accept().send(with_length("HTTP/1.1 503 Busy\r\n", ""));
-  w.node->log("keeping the last endpoint list");
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  EXPECT_TRUE(has(caller.message(), "HTTP/1.1 503 "));
-  EXPECT_TRUE(has(w.health(), "HTTP/1.1 503 "));
-  w.take_watch();
-  w.tell(list(4, false, host("s0", w.servers[0].port(), "leaving") + "," + host("s1", w.servers[1].port())));
-  w.await_ready();
-  TestSocket next = w.client();
-  served_by(w, next, w.servers[1]);
-  EXPECT_TRUE(w.servers[0].quiet());
+  LongTimeoutFixture fixture;
+  fixture.config.known_endpoints = snapshot(3, fixture.server_entry(0));
+  fixture.start();
+  fixture.discovery.accept().send(with_content_length("HTTP/1.1 503 Busy\r\n", ""));
+  fixture.node->read_log_until("keeping the last endpoint list");
+  TestSocket rejected_client = fixture.connect_client();
+  rejected_client.send(request("close"));
+  EXPECT_TRUE(contains(rejected_client.read_message(), "HTTP/1.1 503 "));
+  EXPECT_TRUE(contains(fixture.health_response(), "HTTP/1.1 503 "));
+  fixture.accept_watch();
+  fixture.announce_changes(4, fixture.server_entry(0, "leaving") + "," + fixture.server_entry(1));
+  fixture.wait_until_ready();
+  TestSocket client = fixture.connect_client();
+  fixture.request_until_served_by(client, fixture.servers[1]);
+  EXPECT_TRUE(fixture.servers[0].is_idle());
 }
 
-// A restarted process has to be ready within 10 s, 6 s where the day ends sooner.
-constexpr double kReadyWithin = 6;  // s
+// The operators' limit is 10 s, and 6 s near the end of a day.
+constexpr double kMaxStartupS = 6;
 
-// A node that is started again under its addresses, and knows its servers from before.
-struct RestartedNodeFixture : NodeFixture {
-  explicit RestartedNodeFixture(bool ask = true) {
-    asks = ask;
-    folder = ::testing::TempDir() + "/restart_" + std::to_string(getpid()) + "_" + std::to_string(count++);
-    std::filesystem::create_directory(folder);
-    port = reserved.port;
-    operate_at(0);
-    known = "\"known\":" + list(3, true, host("s0", servers[0].port()));
-    known.back() = ',';
+// A node that is restarted at its address with a cached endpoint list.
+struct RestartedNodeFixture : FixedAddressFixture {
+  explicit RestartedNodeFixture(bool awaits_watch = true) {
+    config.awaits_watch = awaits_watch;
+    config.known_endpoints = snapshot(3, server_entry(0));
   }
-  ~RestartedNodeFixture() { std::filesystem::remove_all(folder); }
-  void operate_at(int operators) {
-    more = R"("management":"127.0.0.1:)" + std::to_string(operators) + R"(",)";
-  }
-  std::unique_ptr<NodeProcess> begin() const {
-    return std::make_unique<NodeProcess>(
-        config(), 1024, std::vector<std::pair<std::string, std::string>>{{"TMPDIR", folder}});
-  }
-  // Serves one request at its address.
-  void serves(const std::string& id) {
-    TestSocket caller = TestSocket::to(port);
-    caller.send(request("close", "", "question", id));
+  void expect_request_served(const std::string& id) const {
+    TestSocket client = connect_to_node();
+    client.send(request_with_id("close", id));
     TestSocket server = servers[0].accept();
-    EXPECT_TRUE(has(server.message(), "Request-Id: " + id + "\r\n"));
-    server.send(ok());
-    EXPECT_TRUE(has(caller.message(), " 200 "));
+    EXPECT_TRUE(contains(server.read_message(), "Request-Id: " + id + "\r\n"));
+    server.send(ok_response());
+    EXPECT_TRUE(contains(client.read_message(), " 200 "));
   }
-
-  ReservedPort reserved;
-  std::string folder;
-  static inline int count = 0;
 };
 
-bool ready(NodeProcess& program) {
-  TestSocket caller = TestSocket::to(program.admin_port());
-  caller.send("GET /ready HTTP/1.1\r\n\r\n");
-  return has(caller.message(), " 200 ");
+void expect_ready_in_time(NodeProcess& process, const Stopwatch& stopwatch) {
+  wait_until([&] { return process.is_ready(); });
+  EXPECT_LT(stopwatch.seconds(), kMaxStartupS);
 }
 
-void ready_in_time(NodeProcess& program, double from) {
-  until([&] { return ready(program); });
-  EXPECT_LT(seconds() - from, kReadyWithin);
+std::vector<std::unique_ptr<RestartedNodeFixture>> start_nodes(bool discovery_accepts) {
+  std::vector<std::unique_ptr<RestartedNodeFixture>> nodes;
+  for (int i = 0; i < 6; ++i) {
+    nodes.push_back(std::make_unique<RestartedNodeFixture>(i % 2 == 0));
+    if (!discovery_accepts) nodes.back()->discovery.stop_listening();
+    nodes.back()->node = nodes.back()->start_process();
+  }
+  return nodes;
 }
 
-// Several at once, all killed and started again: one half when their processes are gone, the other half while
-// these still hold the addresses. Discovery says nothing, or is not there. Clients come before they are
-// ready.
+// Several nodes are killed and restarted at once: one half after their processes have ended, the other half
+// while these still own the addresses. Discovery accepts without a response, or refuses connections. Clients
+// connect before the nodes are ready.
 TEST(Startup, NodesThatKnowServersAreReadyWithoutDiscovery) {
-  for (const bool silent : {true, false}) {
-    std::vector<std::unique_ptr<RestartedNodeFixture>> nodes;
-    for (int i = 0; i < 6; ++i) {
-      nodes.push_back(std::make_unique<RestartedNodeFixture>(i % 2 == 0));
-      if (!silent) nodes.back()->discovery.refuse();
-      nodes.back()->node = nodes.back()->begin();
-    }
+  for (const bool discovery_accepts : {true, false}) {
+    const auto nodes = start_nodes(discovery_accepts);
     for (const auto& node : nodes) {
-      ready_in_time(*node->node, seconds());
-      node->serves("before");
-      node->operate_at(node->node->admin_port());
+      expect_ready_in_time(*node->node, Stopwatch());
+      node->expect_request_served("before");
+      node->set_admin_port(node->node->admin_port());
     }
-    const double from = seconds();
-    std::vector<std::unique_ptr<NodeProcess>> next;
+    const Stopwatch stopwatch;
+    std::vector<std::unique_ptr<NodeProcess>> successors;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      NodeProcess& old = *nodes[i]->node;
+      NodeProcess& predecessor = *nodes[i]->node;
       if (i < nodes.size() / 2) {
-        old.signal(SIGKILL);
-        old.exit_code();
-        next.push_back(nodes[i]->begin());
+        predecessor.signal(SIGKILL);
+        predecessor.wait_for_exit();
+        successors.push_back(nodes[i]->start_process());
       } else {
-        next.push_back(nodes[i]->begin());
-        EXPECT_TRUE(has(next.back()->log("waiting for addresses in use"), "waiting for addresses in use"));
-        old.signal(SIGKILL);
+        successors.push_back(nodes[i]->start_process());
+        EXPECT_TRUE(contains(successors.back()->read_log_until("waiting for addresses in use"),
+                             "waiting for addresses in use"));
+        predecessor.signal(SIGKILL);
       }
     }
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      next[i]->port();
-      std::vector<TestSocket> crowd;
-      crowd.reserve(40);
-      for (int c = 0; c < 40; ++c) crowd.push_back(TestSocket::to(nodes[i]->port));
-      for (TestSocket& early : crowd) early.send("POST /api HTTP/1.1\r\n");
-      ready_in_time(*next[i], from);
-      nodes[i]->serves("after");
+      successors[i]->port();
+      std::vector<TestSocket> waiting_clients;
+      waiting_clients.reserve(40);
+      for (int count = 0; count < 40; ++count) waiting_clients.push_back(nodes[i]->connect_to_node());
+      for (const TestSocket& client : waiting_clients) client.send("POST /api HTTP/1.1\r\n");
+      expect_ready_in_time(*successors[i], stopwatch);
+      nodes[i]->expect_request_served("after");
     }
   }
 }
 
-// Without servers from before there is nothing to be ready with until discovery has spoken.
 TEST(Startup, ANodeIsReadySoonAfterDiscoveryStopsRefusing) {
-  for (const bool ask : {true, false}) {
-    RestartedNodeFixture at(ask);
-    at.known.clear();
-    at.discovery.refuse();
-    const auto node = at.begin();
-    node->log("keeping the last endpoint list");
-    EXPECT_FALSE(ready(*node));
-    at.discovery.resume();
-    const double from = seconds();
-    at.take_watch();
-    at.tell(list(7, true, host("s0", at.servers[0].port())));
-    ready_in_time(*node, from);
-    at.serves("a");
+  for (const bool awaits_watch : {true, false}) {
+    RestartedNodeFixture fixture(awaits_watch);
+    fixture.config.known_endpoints.clear();
+    fixture.discovery.stop_listening();
+    const auto node = fixture.start_process();
+    node->read_log_until("keeping the last endpoint list");
+    EXPECT_FALSE(node->is_ready());
+    fixture.discovery.resume_listening();
+    const Stopwatch stopwatch;
+    fixture.accept_watch();
+    fixture.announce_snapshot(7, fixture.server_entry(0));
+    expect_ready_in_time(*node, stopwatch);
+    fixture.expect_request_served("a");
   }
 }
 
-// The process before still has a request, or does not run at all and can't make room.
+// The predecessor still has a request in flight, or is suspended and can't free its share of the limits.
 TEST(Startup, AReplacementIsReadyWhileTheProcessBeforeIsThere) {
-  for (const bool hangs : {false, true}) {
-    RestartedNodeFixture at;
-    const auto old = at.begin();
-    ready_in_time(*old, seconds());
-    TestSocket caller = TestSocket::to(at.port);
-    caller.send(request("close"));
-    TestSocket server = at.servers[0].accept();
-    server.message();
-    if (hangs) {
-      old->stop();
+  for (const bool is_suspended : {false, true}) {
+    RestartedNodeFixture fixture;
+    const auto predecessor = fixture.start_process();
+    expect_ready_in_time(*predecessor, Stopwatch());
+    TestSocket client = fixture.connect_to_node();
+    const TestSocket server = fixture.forward(client);
+    if (is_suspended) {
+      predecessor->suspend();
     } else {
-      old->signal(SIGTERM);
-      old->log("draining");
+      predecessor->signal(SIGTERM);
+      predecessor->read_log_until("draining");
     }
-    const double from = seconds();
-    const auto next = at.begin();
-    ready_in_time(*next, from);
-    if (hangs) {
-      old->go_on();
-      old->signal(SIGTERM);
+    const Stopwatch stopwatch;
+    const auto successor = fixture.start_process();
+    expect_ready_in_time(*successor, stopwatch);
+    if (is_suspended) {
+      predecessor->resume();
+      predecessor->signal(SIGTERM);
     }
-    server.send(ok());
-    EXPECT_TRUE(has(caller.message(), " 200 "));
-    EXPECT_EQ(old->exit_code(), 0);
-    at.serves("next");
+    server.send(ok_response());
+    EXPECT_TRUE(contains(client.read_message(), " 200 "));
+    EXPECT_EQ(predecessor->wait_for_exit(), 0);
+    fixture.expect_request_served("next");
   }
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
--- a/tests/node/upstream_connection_test.cpp
+++ b/tests/node/upstream_connection_test.cpp
@@ -1,179 +1,157 @@
 // Connections to servers: reuse, expiry, limits and drains.
-#include <sstream>
+#include <chrono>
+#include <string>
 #include <vector>
 
 #include "support/node_fixture.h"
+#include "support/slow_accepting_server.h"
 
 namespace asterdrift::node::testing {
 namespace {
 
+using namespace std::chrono_literals;
+
 TEST(UpstreamConnection, NeverUsesAConnectionToTheProcessBefore) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket old = w.servers[0].accept();
-  old.message();
-  w.tell(list(8, false, host("s0", w.servers[0].port(), "active", 5)));  // another process in its place
-  w.watch.close();
-  EXPECT_TRUE(has(w.take_watch(), "index=8 ")) << "it has been taken over";
-  old.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
-  EXPECT_TRUE(old.ended());
-  caller.send(request("close"));
-  TestSocket fresh = w.servers[0].accept();
-  fresh.message();
-  fresh.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+  NodeFixture fixture;
+  auto [client, old_server] = fixture.start_with_forwarded_request();
+  const int new_incarnation_ms = 5;
+  fixture.announce_changes(8, endpoint("s0", fixture.servers[0].port(), "active", new_incarnation_ms));
+  fixture.watch.close();
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=8 ")) << "the change has been applied";
+  old_server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
+  EXPECT_TRUE(old_server.closed_by_peer());
+  const TestSocket new_server = fixture.forward(client);
+  new_server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
 TEST(UpstreamConnection, DoesNotWriteOnAConnectionThatTheServerHasClosed) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  server.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+  NodeFixture fixture;
+  auto [client, server] = fixture.start_with_forwarded_request();
+  server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
   server.close();
-  caller.send(request("close"));
-  server = w.servers[0].accept();
-  server.message();
-  server.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+  server = fixture.forward(client);
+  server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-// A kept connection that breaks under its next request costs that request its answer, or an attempt. Once
-// that has been seen, requests go on connections that were just used, or on new ones.
+// A keep-alive connection that breaks under its next request costs that request its response, or an attempt.
+// Once that has been observed, requests use connections that were just used, or new ones.
 TEST(UpstreamConnection, KeepsRequestsOffConnectionsThatGoStale) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  const auto served = [&](TestSocket& server) {
-    EXPECT_TRUE(has(server.message(), "question"));
-    server.send(ok());
-    EXPECT_TRUE(has(caller.message(), " 200 "));
+  NodeFixture fixture;
+  fixture.start_with_one_server();
+  TestSocket client = fixture.connect_client();
+  const auto expect_served_by = [&](TestSocket& server) {
+    EXPECT_TRUE(contains(server.read_message(), "question"));
+    server.send(ok_response());
+    EXPECT_TRUE(contains(client.read_message(), " 200 "));
   };
-  caller.send(request("close"));
-  TestSocket first = w.servers[0].accept();
-  served(first);
-  EXPECT_TRUE(first.quiet(150)) << "idle for a while";
-  caller.send(request("close"));
-  first.message();
+  client.send(request("close"));
+  TestSocket first = fixture.servers[0].accept();
+  expect_served_by(first);
+  EXPECT_TRUE(first.is_idle(150ms)) << "idle for a while";
+  client.send(request("close"));
+  first.read_message();
   first.reset();
-  EXPECT_TRUE(has(caller.message(), "HTTP/1.1 502 "));
-  caller.send(request("close"));
-  TestSocket second = w.servers[0].accept();
-  served(second);
-  EXPECT_TRUE(second.quiet(150));
-  caller.send(request("close"));
-  TestSocket third = w.servers[0].accept();
-  served(third);
-  EXPECT_TRUE(third.quiet(150));
-  caller.send(request("mark"));  // may be repeated, but only where its repeats are dropped
-  TestSocket fourth = w.servers[0].accept();
-  served(fourth);
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 502 "));
+  client.send(request("close"));
+  TestSocket second = fixture.servers[0].accept();
+  expect_served_by(second);
+  EXPECT_TRUE(second.is_idle(150ms));
+  client.send(request("close"));
+  TestSocket third = fixture.servers[0].accept();
+  expect_served_by(third);
+  EXPECT_TRUE(third.is_idle(150ms));
+  client.send(request("mark"));  // idempotent, but only within its deduplication window
+  TestSocket fourth = fixture.servers[0].accept();
+  expect_served_by(fourth);
 }
 
 TEST(UpstreamConnection, ClosesIdleConnectionsBeforeTheServersDo) {
-  NodeFixture w;
-  w.idle_close = 4;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket server = w.servers[0].accept();
-  server.message();
-  server.send(ok());
-  const double from = seconds();
-  EXPECT_TRUE(server.ended());
-  EXPECT_LT(seconds() - from, 4);
+  NodeFixture fixture;
+  fixture.config.idle_close_s = 4;
+  auto [client, server] = fixture.start_with_forwarded_request();
+  server.send(ok_response());
+  const Stopwatch stopwatch;
+  EXPECT_TRUE(server.closed_by_peer());
+  EXPECT_LT(stopwatch.seconds(), 4);
 }
 
 TEST(UpstreamConnection, DrainsStopSendsThatWaitForAConnection) {
-  ScriptedPeer full(0);
-  std::vector<TestSocket> crowd;
-  NodeFixture w;
-  w.connect_timeout = 10;
-  crowd.push_back(
-      TestSocket::to(full.port()));  // its queue has room for one: further connections never come up
-  w.serve(host("s0", full.port()));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  until([&] { return connecting_to(full.port()); });
-  w.tell(list(8, false, host("s0", full.port(), "leaving") + "," + host("s1", w.servers[1].port())));
-  TestSocket server = w.servers[1].accept();
-  server.message();
-  server.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+  const SlowAcceptingServer unreachable_server;
+  NodeFixture fixture;
+  fixture.config.connect_timeout_s = 10;
+  TestSocket client = fixture.start_with_waiting_request(unreachable_server);
+  fixture.announce_changes(
+      8, endpoint("s0", unreachable_server.port(), "leaving") + "," + fixture.server_entry(1));
+  TestSocket server = fixture.servers[1].accept();
+  server.read_message();
+  server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
 TEST(UpstreamConnection, GivesUpConnectionsThatNeverComeUp) {
-  ScriptedPeer full(0);
-  NodeFixture w;
-  const TestSocket crowd = TestSocket::to(full.port());
-  w.serve(host("s0", full.port()));
-  TestSocket caller = w.client();
-  const double from = seconds();
-  caller.send(request("close"));
-  EXPECT_TRUE(has(caller.message(), "HTTP/1.1 503 ")) << "it has not run: a refusal";
-  EXPECT_LT(seconds() - from, 1.9);
+  const SlowAcceptingServer unreachable_server;
+  NodeFixture fixture;
+  fixture.start_with(endpoint("s0", unreachable_server.port()));
+  TestSocket client = fixture.connect_client();
+  const Stopwatch stopwatch;
+  client.send(request("close"));
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 503 ")) << "rejected: it has not run";
+  EXPECT_LT(stopwatch.seconds(), 1.9);
 }
 
 TEST(UpstreamConnection, FollowsAServerToItsNewAddress) {
-  NodeFixture w;
-  w.serve(host("s0", w.servers[0].port()));
-  TestSocket caller = w.client();
-  caller.send(request("close"));
-  TestSocket old = w.servers[0].accept();
-  old.message();
-  old.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
-  w.tell(list(8, false, host("s0", w.servers[1].port())));
-  const double from = seconds();
-  EXPECT_TRUE(old.ended());
-  EXPECT_LT(seconds() - from, 3) << "long before it would idle out";
-  caller.send(request("close"));
-  TestSocket server = w.servers[1].accept();
-  server.message();
-  server.send(ok());
-  EXPECT_TRUE(has(caller.message(), " 200 "));
+  NodeFixture fixture;
+  auto [client, old_server] = fixture.start_with_forwarded_request();
+  old_server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
+  fixture.announce_changes(8, endpoint("s0", fixture.servers[1].port()));
+  const Stopwatch stopwatch;
+  EXPECT_TRUE(old_server.closed_by_peer());
+  EXPECT_LT(stopwatch.seconds(), 3) << "long before its idle timeout";
+  client.send(request("close"));
+  TestSocket new_server = fixture.servers[1].accept();
+  new_server.read_message();
+  new_server.send(ok_response());
+  EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
 TEST(UpstreamConnection, IdleConnectionsToOneServerMakeRoomForAnother) {
-  NodeFixture w;
-  w.sockets = 64;  // ten of them for servers
-  w.serve(host("s0", w.servers[0].port()));
-  std::vector<TestSocket> callers, taken;
+  NodeFixture fixture;
+  fixture.config.max_sockets = 64;  // ten of them for servers
+  fixture.start_with_one_server();
+  std::vector<TestSocket> clients, connections;
   for (int i = 0; i < 10; ++i) {
-    callers.push_back(w.client());
-    callers.back().send(request("close", "", "question", "r" + std::to_string(i)));
-    taken.push_back(w.servers[0].accept());
-    taken.back().message();
+    clients.push_back(fixture.connect_client());
+    connections.push_back(fixture.forward(clients.back(), request_with_id("close", "r" + std::to_string(i))));
   }
   for (std::size_t i = 0; i < 10; ++i) {
-    taken[i].send(ok());
-    EXPECT_TRUE(has(callers[i].message(), " 200 "));
+    connections[i].send(ok_response());
+    EXPECT_TRUE(contains(clients[i].read_message(), " 200 "));
   }
-  w.tell(list(8, false, host("s1", w.servers[1].port())));
-  for (int i = 0; i < 60 && w.servers[1].quiet(); ++i) {
-    callers[0].send(request("close"));
-    until([&] {
-      for (TestSocket& server : taken) {
-        if (server.quiet() || server.message().empty()) continue;
-        server.send(ok());
+  fixture.announce_changes(8, fixture.server_entry(1));
+  for (int i = 0; i < 60 && fixture.servers[1].is_idle(); ++i) {
+    clients[0].send(request("close"));
+    wait_until([&] {
+      for (TestSocket& connection : connections) {
+        if (connection.is_idle() || connection.read_message().empty()) continue;
+        connection.send(ok_response());
         return true;
       }
-      return !w.servers[1].quiet();
+      return !fixture.servers[1].is_idle();
     });
-    if (w.servers[1].quiet()) {
-      EXPECT_TRUE(has(callers[0].message(), " 200 "));
+    if (fixture.servers[1].is_idle()) {
+      EXPECT_TRUE(contains(clients[0].read_message(), " 200 "));
     }
   }
-  TestSocket server = w.servers[1].accept();
-  server.message();
-  server.send(ok());
-  EXPECT_TRUE(has(callers[0].message(), " 200 "));
+  TestSocket server = fixture.servers[1].accept();
+  server.read_message();
+  server.send(ok_response());
+  EXPECT_TRUE(contains(clients[0].read_message(), " 200 "));
 }
+
 }  // namespace
 }  // namespace asterdrift::node::testing
