--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -9,7 +9,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(Operators, AreToldWhetherTheNodeCanServe) {
+TEST(AdminServer, ReadyFollowsTheNodesState) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.start();
@@ -23,7 +23,7 @@
   EXPECT_TRUE(contains(fixture.admin_get("/ready"), "HTTP/1.1 503 "));
 }
 
-TEST(Operators, HaveAnAddressOfTheirOwn) {
+TEST(AdminServer, ListensOnlyOnItsOwnAddress) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   EXPECT_FALSE(contains(fixture.node->read_log_until("\n"), "admin server"))
@@ -37,7 +37,7 @@
   EXPECT_GT(node.admin_port(), 0) << "the address may come from the environment";
 }
 
-TEST(Operators, AreToldWhatIsWrongWithACall) {
+TEST(AdminServer, RespondsToInvalidRequestsWithTheirStatus) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.start_with_both_servers();
@@ -68,7 +68,7 @@
   EXPECT_TRUE(silent.closed_by_peer());
 }
 
-TEST(Operators, GetAnswersBesidePeersThatHoldOn) {
+TEST(AdminServer, RespondsDespiteStalledConnections) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.config.max_sockets = 100;
@@ -87,7 +87,7 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 ")) << "clients are served too";
 }
 
-TEST(Operators, AnAddressThatCantBeUsedEndsTheStart) {
+TEST(AdminServer, UnusableAddressEndsTheProcess) {
   NodeFixture fixture;
   for (const auto& [address, code] : {std::pair{std::string("nowhere"), 2},
                                       {"127.0.0.1:" + std::to_string(fixture.servers[0].port()), 1}}) {
@@ -98,7 +98,7 @@
   }
 }
 
-TEST(Figures, AreThereFromTheStart) {
+TEST(Metrics, ArePublishedFromTheStart) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.start();
@@ -117,7 +117,7 @@
       << metrics;
 }
 
-TEST(Figures, FollowWhatBecomesOfRequests) {
+TEST(Metrics, CountRequestsByTheirOutcome) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.start_with(fixture.both_server_entries() + "," + endpoint("s2", 1, "leaving"));
--- a/tests/node/client_departure_test.cpp
+++ b/tests/node/client_departure_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(ClientDeparture, AClientThatLeavesWhileItsConnectionComesUpIsNotSentOn) {
+TEST(ClientDeparture, RequestOfDepartedClientIsNotForwarded) {
   for (const bool may_cancel : {false, true}) {
     for (const Departure departure : kCloseAndReset) {
       const SlowAcceptingServer slow_server;
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(ClientDeparture, EarlyBytesOfANextRequestDoNotHideThatAClientLeaves) {
+TEST(ClientDeparture, IsNoticedBehindPipelinedBytes) {
   for (const std::size_t pipelined_bytes : {std::size_t{100}, std::size_t{20000}, std::size_t{500000}}) {
     for (const Departure departure : kCloseAndReset) {
       const SlowAcceptingServer slow_server;
@@ -43,7 +43,7 @@
 
 // A pipelined request is buffered and served. More bytes than the buffer takes end the connection after the
 // response.
-TEST(ClientDeparture, EarlyBytesAreKeptWhereTheyMayBeARequest) {
+TEST(ClientDeparture, PipelinedRequestIsBufferedAndServed) {
   LongTimeoutFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request(request("close", "", "one"));
   const std::string large_body(60000, 'y');
@@ -61,7 +61,7 @@
 }
 
 // The request is in the system's accept queue, or unread on a connection that the node has accepted.
-TEST(ClientDeparture, AClientThatLeavesBeforeItIsReadIsNotSentOn) {
+TEST(ClientDeparture, RequestThatIsUnreadAtDepartureIsNotForwarded) {
   for (const bool is_accepted : {false, true}) {
     for (const std::size_t pipelined_bytes : {std::size_t{0}, std::size_t{40000}}) {
       LongTimeoutFixture fixture;
@@ -88,7 +88,7 @@
 }
 
 // The server reads nothing, so that the client's end of the connection is unread behind the upload.
-TEST(ClientDeparture, AnUploadWhoseClientHasLeftIsNotSentOnWhole) {
+TEST(ClientDeparture, UploadOfDepartedClientIsNotForwardedCompletely) {
   for (const bool may_cancel : {false, true}) {
     LongTimeoutFixture fixture;
     fixture.config.may_cancel = may_cancel;
@@ -115,7 +115,7 @@
 }
 
 // The node sees the end of the connection although it reads nothing from it.
-TEST(ClientDeparture, AnUploadThatIsHeldBackFreesItsServerWhenItsClientLeaves) {
+TEST(ClientDeparture, BlockedUploadOfDepartedClientFreesItsServer) {
   for (const Departure departure : kCloseAndReset) {
     const SlowAcceptingServer slow_server;
     LongTimeoutFixture fixture;
@@ -130,7 +130,7 @@
 }
 
 // A request that has been sent completely is cancelled only where that is allowed.
-TEST(ClientDeparture, WhatIsWithItsServerIsWithdrawnOnlyWhereThatIsAllowed) {
+TEST(ClientDeparture, ForwardedRequestIsCancelledOnlyIfAllowed) {
   for (const bool may_cancel : {false, true}) {
     LongTimeoutFixture fixture;
     fixture.config.may_cancel = may_cancel;
--- a/tests/node/client_request_test.cpp
+++ b/tests/node/client_request_test.cpp
@@ -8,7 +8,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(ClientRequest, AnswersBeforeTheClientsTimeIsUp) {
+TEST(ClientRequest, GetsAResponseBeforeItsTimeout) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -20,7 +20,7 @@
   EXPECT_TRUE(client.is_idle()) << "one final response";
 }
 
-TEST(ClientRequest, NoticesAClientThatLeaves) {
+TEST(ClientRequest, IsCancelledWhenItsClientDeparts) {
   NodeFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request();
   client.close();
@@ -29,7 +29,7 @@
   EXPECT_LT(stopwatch.seconds(), 1.9) << "long before the attempt's timeout";
 }
 
-TEST(ClientRequest, KeepsTheNextRequestsEarlyBytes) {
+TEST(ClientRequest, PipelinedRequestIsServedNext) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -45,7 +45,7 @@
 }
 
 // Two requests in flight with one id could run twice, or get each other's response.
-TEST(ClientRequest, RejectsAnIdThatIsOpen) {
+TEST(ClientRequest, IdThatIsInFlightIsRejected) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   TestSocket first_client = fixture.connect_client(), second_client = fixture.connect_client();
@@ -63,7 +63,7 @@
   EXPECT_TRUE(contains(first_client.read_message(), " 200 ")) << "it is no longer in flight";
 }
 
-TEST(ClientRequest, RejectsWhatIsNotSound) {
+TEST(ClientRequest, InvalidRequestIsRejected) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   const std::string start = "POST /api HTTP/1.1\r\nRequest-Id: r\r\n";
--- a/tests/node/reload_test.cpp
+++ b/tests/node/configuration_test.cpp
@@ -6,7 +6,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(Configuration, KeepsItsConfigurationWhereTheNextCantBeUsed) {
+TEST(Configuration, InvalidReloadChangesNothing) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   const ListeningSocket other_discovery;
@@ -27,7 +27,7 @@
   EXPECT_TRUE(contains(other_discovery.accept().read_message(), kSnapshotRequestLine));
 }
 
-TEST(Configuration, SaysPlainlyWhatIsWrongWithItsConfiguration) {
+TEST(Configuration, InvalidConfigurationEndsTheProcessWithOneLogLine) {
   const NodeFixture fixture;
   const std::string valid_config = fixture.config.to_json();
   std::string invalid_seed = valid_config;
--- a/tests/node/connection_limit_test.cpp
+++ b/tests/node/connection_limit_test.cpp
@@ -34,14 +34,14 @@
   }
 };
 
-TEST(ConnectionLimit, SilentConnectionsDoNotKeepOthersOut) {
+TEST(ConnectionLimit, SilentConnectionsDoNotBlockNewClients) {
   FewSocketsFixture fixture;
   const std::vector<TestSocket> idle_clients = connect_idle_clients(fixture, 120);
   TestSocket client = fixture.connect_client();
   fixture.expect_served(client);
 }
 
-TEST(ConnectionLimit, EndsSilentAndSlowConnectionsInThreeSeconds) {
+TEST(ConnectionLimit, SilentAndSlowConnectionsEndInThreeSeconds) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   const Stopwatch stopwatch;
@@ -55,7 +55,7 @@
   EXPECT_LT(stopwatch.seconds(), 3);
 }
 
-TEST(ConnectionLimit, KeptConnectionsAndSlowHeadsDoNotKeepOthersOut) {
+TEST(ConnectionLimit, KeepAliveConnectionsAndSlowHeadsDoNotBlockNewClients) {
   FewSocketsFixture fixture;
   std::vector<TestSocket> clients;
   for (int i = 0; i < 100; ++i) {
@@ -68,9 +68,10 @@
 }
 
 // New connections take the place of idle keep-alive connections, not of one another.
-TEST(ConnectionLimit, ACrowdDoesNotPushOutWhoHasJustConnected) {
+TEST(ConnectionLimit, NewConnectionsDoNotEvictEachOther) {
   FewSocketsFixture fixture;
   std::vector<TestSocket> keep_alive_clients;
+  keep_alive_clients.reserve(40);
   for (int i = 0; i < 40; ++i) keep_alive_clients.push_back(connect_keep_alive_client(fixture));
   TestSocket client = fixture.connect_client();
   std::vector<TestSocket> new_clients = connect_idle_clients(fixture, 10);
@@ -80,7 +81,7 @@
 }
 
 // Incomplete bodies occupy memory: past a fraction of the limit the node rejects requests.
-TEST(ConnectionLimit, HoldsNoMoreBodiesThanItsMemoryAllows) {
+TEST(ConnectionLimit, RequestsAreRejectedWhenBodiesFillTheMemory) {
   NodeFixture fixture;
   fixture.config.max_memory_mb = 16;
   fixture.start_with_one_server();
@@ -105,7 +106,7 @@
   });
 }
 
-TEST(ConnectionLimit, SurvivesRunningOutOfDescriptors) {
+TEST(ConnectionLimit, NodeSurvivesRunningOutOfDescriptors) {
   NodeFixture fixture;
   fixture.node =
       std::make_unique<NodeProcess>(fixture.config.to_json(), NodeProcessOptions{.descriptor_limit = 24});
@@ -215,7 +216,7 @@
   EXPECT_TRUE(contains(response, " 503 ")) << response;
 }
 
-TEST(ConnectionLimit, OfIdleClientsDoesNotKeepDiscoveryOrOthersOut) {
+TEST(ConnectionLimit, IdleClientsDoNotBlockDiscoveryOrNewServers) {
   for (const ClientKind kind : {ClientKind::kKeepAlive, ClientKind::kSilent}) {
     for (const bool awaits_watch : {false, true}) {
       for (const bool discovery_moves : {false, true}) {
--- a/tests/node/crossing_events_test.cpp
+++ b/tests/node/crossing_events_test.cpp
@@ -10,7 +10,7 @@
 
 // The node is overloaded: more input is available than it reads in one round, and the time to close
 // connections without a request has come.
-TEST(CrossingEvents, AConnectionIsNotClosedOverARequestThatIsNotReadYet) {
+TEST(CrossingEvents, ConnectionWithAnUnreadRequestIsNotClosed) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
   std::vector<TestSocket> clients;
@@ -28,7 +28,7 @@
 }
 
 // The response and the client's end of the connection are available together, in either order.
-TEST(CrossingEvents, AnAnswerThatCrossesItsClientsEndIsNobodysAndDoesNoHarm) {
+TEST(CrossingEvents, ResponseWithoutAClientIsDiscarded) {
   for (const bool response_first : {false, true}) {
     for (const Departure departure : kCloseAndReset) {
       LongTimeoutFixture fixture;
@@ -56,7 +56,7 @@
 }
 
 // A server ends a keep-alive connection while the next request for it is on its way to the node.
-TEST(CrossingEvents, AKeptConnectionThatEndsAsItsNextRequestComesIsNotUsed) {
+TEST(CrossingEvents, KeepAliveConnectionThatHasEndedIsNotUsed) {
   for (const Departure departure : kCloseAndReset) {
     LongTimeoutFixture fixture;
     auto [client, server] = fixture.start_with_forwarded_request();
@@ -74,7 +74,7 @@
   }
 }
 
-TEST(CrossingEvents, AnUploadThatHasBegunOutlivesTheWordThatItsServerLeaves) {
+TEST(CrossingEvents, UploadInProgressCompletesOnADrainingServer) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -94,7 +94,7 @@
 }
 
 // The servers deduplicate by idempotency key within a window alone: a retry after it would run again.
-TEST(CrossingEvents, ARepeatWhoseConnectionComesUpAfterItsWindowIsNotSent) {
+TEST(CrossingEvents, RetryAfterTheDeduplicationWindowIsNotSent) {
   const SlowAcceptingServer slow_server;
   LongTimeoutFixture fixture;
   fixture.config.dedup_window_s = 0.5;
--- a/tests/node/departure_before_attempt_test.cpp
+++ b/tests/node/departure_before_attempt_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The node reads the failure that permits a retry first, and the client's end of the connection after it.
-TEST(DepartureBeforeAttempt, NoFurtherAttemptBegins) {
+TEST(DepartureBeforeAttempt, NoRetryBegins) {
   for (const Departure departure : kAllDepartures) {
     for (const std::string failure : {"HTTP/1.1 503 Full\r\nNot-Started: 1\r\n", ""}) {
       KeepAliveFixture fixture;
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(DepartureBeforeAttempt, NoAttemptBeginsOnAConnectionThatComesUpLate) {
+TEST(DepartureBeforeAttempt, NoAttemptBeginsOnASlowlyEstablishedConnection) {
   for (const Departure departure : kAllDepartures) {
     const SlowAcceptingServer slow_server;
     KeepAliveFixture fixture;
--- a/tests/node/discovery_test.cpp
+++ b/tests/node/discovery_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Discovery, IsReadyOnceItKnowsServers) {
+TEST(Discovery, NodeIsReadyOnceItHasEndpoints) {
   NodeFixture fixture;
   fixture.start();
   EXPECT_TRUE(contains(fixture.health_response(), " 503 "));
@@ -20,7 +20,7 @@
   fixture.wait_until_ready();
 }
 
-TEST(Discovery, KeepsItsListAndAsksAgainWhenTheWatchBreaks) {
+TEST(Discovery, ListStaysAndWatchReopensAfterABreak) {
   NodeFixture fixture;
   fixture.config.known_endpoints = snapshot(3, fixture.server_entry(0));
   fixture.start();
@@ -37,7 +37,7 @@
   fixture.expect_served(client);
 }
 
-TEST(Discovery, TakesASilentWatchForBroken) {
+TEST(Discovery, SilentWatchIsReopened) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   EXPECT_TRUE(fixture.watch.closed_by_peer());
@@ -46,7 +46,7 @@
 
 // A change counts as acknowledged after 6 s. With two silent watches in a row of that length the node would
 // send to a server that drains.
-TEST(Discovery, AsksAgainBeforeASilentWatchsChangesCountAsTold) {
+TEST(Discovery, SilentWatchIsReopenedBeforeItsChangesCountAsAcknowledged) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   const auto last_event_at = std::chrono::steady_clock::now();
@@ -56,7 +56,7 @@
   EXPECT_TRUE(contains(fixture.accept_watch(), "stream=1&index=7 ")) << "and again without any response";
 }
 
-TEST(Discovery, MovesItsWatchOnSighup) {
+TEST(Discovery, WatchMigratesOnSighup) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   for (int round = 0; round < 2; ++round) {
@@ -87,7 +87,7 @@
   }
 }
 
-TEST(Discovery, AsksTheNewDiscoveryAgainUntilItSpeaks) {
+TEST(Discovery, NewAddressIsPolledUntilItResponds) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   const ListeningSocket other_discovery;
@@ -100,7 +100,7 @@
   EXPECT_TRUE(contains(fixture.health_response(), " 200 ")) << "with the last list";
 }
 
-TEST(Discovery, MovesItsWatchInAnOutageAndInADrain) {
+TEST(Discovery, WatchMigratesDuringAnOutageAndADrain) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   fixture.discovery.close();
@@ -133,7 +133,7 @@
   return result;
 }
 
-TEST(Discovery, ListsMayComeIndentedAndCutAnywhere) {
+TEST(Discovery, ListsMayBeIndentedAndSplitAnywhere) {
   for (const std::size_t chunk_size : {std::size_t{1}, std::size_t{7}, std::size_t{100000}}) {
     LongTimeoutFixture fixture;
     fixture.start();
@@ -162,7 +162,7 @@
   }
 }
 
-TEST(Discovery, ListsThatCanNotBeReadEndTheirWatch) {
+TEST(Discovery, InvalidListEndsItsWatch) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
   const std::string line_end_in_string = std::string(R"({"seq":8,"ho)") + "\n";
@@ -178,7 +178,7 @@
 }
 
 // Bytes that complete no line and no list do not count as activity.
-TEST(Discovery, AWatchThatDripsIsBroken) {
+TEST(Discovery, WatchWithoutCompleteLinesIsReopened) {
   for (const std::string prefix : {"", "{\"seq\":8,"}) {
     LongTimeoutFixture fixture;
     fixture.start_with_one_server();
@@ -194,7 +194,7 @@
 
 // An agent that pushes lists is polled without a pause: the first list after an outage counts as acknowledged
 // at once.
-TEST(Discovery, ASilentAgentIsAskedAgainAtOnce) {
+TEST(Discovery, SilentAgentIsPolledAgainAtOnce) {
   LongTimeoutFixture fixture;
   fixture.config.awaits_watch = false;
   fixture.start_with_one_server();
@@ -214,7 +214,7 @@
 }
 
 // The old watch has no more events, and the new address does not respond at first.
-TEST(Discovery, AMoveAmidASilenceIsFollowed) {
+TEST(Discovery, WatchMigratesDuringASilence) {
   for (const bool awaits_watch : {false, true}) {
     LongTimeoutFixture fixture;
     fixture.config.awaits_watch = awaits_watch;
--- a/tests/node/long_endpoint_list_test.cpp
+++ b/tests/node/endpoint_list_test.cpp
@@ -67,7 +67,7 @@
   return snapshot_event(static_cast<unsigned>(sequence), entries + entry);
 }
 
-TEST(Membership, AListIsTakenWhateverItsLength) {
+TEST(EndpointList, LongListIsApplied) {
   EndpointListFixture fixture;
   fixture.config.max_memory_mb = 32;
   fixture.start();
@@ -85,7 +85,7 @@
   fixture.expect_served_by(fixture.servers[1]);
 }
 
-TEST(Membership, AKnownListIsTakenWhateverItsLength) {
+TEST(EndpointList, LongCachedListIsApplied) {
   EndpointListFixture fixture;
   fixture.config.max_memory_mb = 32;
   fixture.config.known_endpoints =
@@ -98,7 +98,7 @@
 }
 
 // A truncated list, or one with an invalid last entry, is rejected as a whole.
-TEST(Membership, ALongListThatIsCutOrSpoiltChangesNothing) {
+TEST(EndpointList, TruncatedOrInvalidListChangesNothing) {
   EndpointListFixture fixture;
   fixture.start_with_one_server();
   const std::string invalid = long_snapshot_event(8, 3000, fixture.server_entry(1, "odd"));
@@ -122,7 +122,7 @@
   fixture.expect_served_by(fixture.servers[1]);
 }
 
-TEST(Membership, AListTooLargeForTheMemoryIsRejectedWithOneLine) {
+TEST(EndpointList, ListTooLargeForTheMemoryIsRejectedWithOneLogLine) {
   EndpointListFixture fixture;
   fixture.config.max_memory_mb = 16;
   fixture.start_with_one_server();
@@ -142,7 +142,7 @@
 }
 
 // Every list is truncated: past a byte budget the node stops polling, and continues to serve.
-TEST(Membership, WhatIsOfNoUseIsNotAskedForWithoutEnd) {
+TEST(EndpointList, TruncatedListsExhaustTheByteBudget) {
   for (const bool awaits_watch : {false, true}) {
     EndpointListFixture fixture;
     fixture.config.awaits_watch = awaits_watch;
@@ -168,7 +168,7 @@
 
 // Each poll gets a valid snapshot, after which the watch breaks: these use up the byte budget too. Snapshots
 // on a watch that stays open were not polled for and delay no poll.
-TEST(Membership, WholeListsThatAreToldOverAndOverAreNotAskedForWithoutEnd) {
+TEST(EndpointList, RepeatedSnapshotsExhaustTheByteBudget) {
   EndpointListFixture fixture;
   fixture.config.awaits_watch = false;
   fixture.start_with_one_server();
@@ -186,7 +186,7 @@
 }
 
 // Polls fail in every way, one after the other; then a change is received.
-TEST(Membership, AChangeIsHeardWhateverHasFailedBefore) {
+TEST(EndpointList, ChangeIsAppliedAfterFailedPolls) {
   for (const bool awaits_watch : {false, true}) {
     EndpointListFixture fixture;
     fixture.config.awaits_watch = awaits_watch;
--- a/tests/node/forwarding_test.cpp
+++ b/tests/node/forwarding_test.cpp
@@ -7,7 +7,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(Forwarding, PassesRequestsOnUnchangedAndKeepsConnections) {
+TEST(Forwarding, RequestsAreUnchangedAndConnectionsReused) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -33,7 +33,7 @@
   EXPECT_TRUE(fixture.servers[0].is_idle());
 }
 
-TEST(Forwarding, TriesElsewhereWhatWasNeverSent) {
+TEST(Forwarding, UnsentRequestIsRetriedAtAnotherServer) {
   NodeFixture fixture;
   fixture.servers[0].stop_listening();
   fixture.start_with_both_servers();
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(Forwarding, SendsAgainOnlyWhatTheServerSaysItHasNotBegun) {
+TEST(Forwarding, RequestThatTheServerHasNotStartedIsRetried) {
   NodeFixture fixture;
   auto [client, first_server] = fixture.start_with_request_to_either();
   first_server.send(not_started_response_with_close());
@@ -58,7 +58,7 @@
 }
 
 // After each of these the request may have run: an unsafe one is neither retried nor rejected.
-TEST(Forwarding, FailsWhatMayHaveRun) {
+TEST(Forwarding, UnsafeRequestThatMayHaveRunFails) {
   const std::vector<std::string> responses = {
       "",                                               // the connection just ends
       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",  // truncated
@@ -80,7 +80,7 @@
   }
 }
 
-TEST(Forwarding, ResetAfterTheLastByteIsNotRepeated) {
+TEST(Forwarding, ResetAfterTheLastByteIsNotRetried) {
   NodeFixture fixture;
   auto [client, server] = fixture.start_with_request_to_either();
   server.reset();
--- a/tests/node/replacement_test.cpp
+++ b/tests/node/replacement_test.cpp
@@ -76,7 +76,7 @@
   std::vector<ServerConnection> server_connections;
 };
 
-TEST(Replacement, TakesOverWithoutTurningAnybodyBack) {
+TEST(Replacement, SuccessorTakesOverWithoutARejectedRequest) {
   ReplacementFixture fixture;
   TestSocket old_watch, new_watch;
   const auto predecessor = fixture.start_ready(old_watch);
@@ -119,7 +119,7 @@
   EXPECT_TRUE(contains(fixture.response_to("c"), " 200 "));
 }
 
-TEST(Replacement, TheOldOneServesOnWhereTheNextDies) {
+TEST(Replacement, PredecessorContinuesWhenTheSuccessorDies) {
   ReplacementFixture fixture;
   TestSocket old_watch;
   const auto predecessor = fixture.start_ready(old_watch);
@@ -137,7 +137,7 @@
   EXPECT_TRUE(contains(fixture.response_to("c"), " 200 "));
 }
 
-TEST(Replacement, OneAfterAnother) {
+TEST(Replacement, ProcessesReplaceOneAnotherInTurn) {
   ReplacementFixture fixture;
   std::vector<std::unique_ptr<NodeProcess>> processes;
   std::vector<TestSocket> watches(4);
@@ -150,7 +150,7 @@
   }
 }
 
-TEST(Replacement, BothObeyTheListAndSighup) {
+TEST(Replacement, BothProcessesFollowTheListAndSighup) {
   ReplacementFixture fixture;
   TestSocket old_watch, new_watch;
   const auto predecessor = fixture.start_ready(old_watch);
@@ -172,7 +172,7 @@
 
 // Whatever is in the lock file's place must not prevent a start; without a usable folder a second process
 // can't share the address.
-TEST(Replacement, LeftoversAndOddFoldersAreAnOrdinaryStart) {
+TEST(Replacement, UnusableLockFileDoesNotPreventAStart) {
   for (const std::string kind : {"stale", "directory", "link", "pipe", "no folder", "none"}) {
     ReplacementFixture fixture;
     const std::string file = fixture.lock_path();
@@ -208,7 +208,7 @@
 // A process of an older version locks bytes of a file with the program's former name: byte 0 while it is
 // alive, byte 1 while it shares the limits, byte 2 while it serves. With another name or other bytes the two
 // processes would not see each other.
-TEST(Replacement, SeesAProcessOfAnOlderVersionByItsLocks) {
+TEST(Replacement, OlderVersionIsDetectedByItsLocks) {
   ReplacementFixture fixture;
   const int lock_file = ::open(fixture.lock_path().c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   ASSERT_GE(lock_file, 0);
@@ -233,12 +233,13 @@
   EXPECT_TRUE(contains(successor->read_log_until(kSoleProcessLog), kSoleProcessLog));
 }
 
-TEST(Replacement, BothTogetherKeepToTheLimitOnConnections) {
+TEST(Replacement, ProcessesShareTheConnectionLimit) {
   ReplacementFixture fixture;
   fixture.config.max_sockets = 128;
   TestSocket old_watch, new_watch;
   const auto predecessor = fixture.start_ready(old_watch);
   std::vector<TestSocket> clients;
+  clients.reserve(148);
   // As many as one process accepts.
   for (int i = 0; i < 48; ++i) clients.push_back(fixture.connect_served_client());
   const auto successor = fixture.start_ready(new_watch);
--- a/tests/node/shutdown_test.cpp
+++ b/tests/node/shutdown_test.cpp
@@ -8,7 +8,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(Shutdown, DrainsOnSigterm) {
+TEST(Shutdown, NodeDrainsOnSigterm) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket keep_alive = fixture.connect_client(), busy = fixture.connect_client();
@@ -38,7 +38,7 @@
 }
 
 // The node's own deadline applies where neither the module nor the client ends a request in time.
-TEST(Shutdown, AnswersWhatIsOpenBeforeItIsKilled) {
+TEST(Shutdown, RequestsInFlightGetAResponseBeforeTheKill) {
   NodeFixture fixture;
   auto [client, server] =
       fixture.start_with_forwarded_request(request("close", "Request-Timeout-Ms: 60000\r\n"));
@@ -50,7 +50,7 @@
 }
 
 // A request that was never sent is rejected, with Retry-After where that is allowed, and not sent later.
-TEST(Shutdown, ADrainsEndRejectsWhatHasNotBeenSent) {
+TEST(Shutdown, EndOfDrainRejectsUnsentRequests) {
   for (const bool is_allowed : {false, true}) {
     const SlowAcceptingServer slow_server;
     LongTimeoutFixture fixture;
@@ -67,7 +67,7 @@
 
 // One request arrives in the middle of the drain, and the last byte of another when the last responses are
 // due.
-TEST(Shutdown, ASecondSigtermChangesNothingAndLateRequestsAreAnswered) {
+TEST(Shutdown, SecondSigtermChangesNothingAndRequestsDuringTheDrainGetResponses) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
   TestSocket first_client = fixture.connect_client(), second_client = fixture.connect_client();
--- a/tests/node/startup_test.cpp
+++ b/tests/node/startup_test.cpp
@@ -11,7 +11,7 @@
 
 // The cached list of a new process may be outdated, and its agent counts changes as acknowledged from the
 // process's start.
-TEST(Startup, ANewProcessSendsNothingBeforeItHasHeardOfTheServers) {
+TEST(Startup, NewProcessForwardsNothingBeforeItsFirstWatchEvent) {
   LongTimeoutFixture fixture;
   fixture.config.known_endpoints = snapshot(3, fixture.server_entry(0));
   fixture.start();
@@ -66,7 +66,7 @@
 // Several nodes are killed and restarted at once: one half after their processes have ended, the other half
 // while these still own the addresses. Discovery accepts without a response, or refuses connections. Clients
 // connect before the nodes are ready.
-TEST(Startup, NodesThatKnowServersAreReadyWithoutDiscovery) {
+TEST(Startup, NodesWithACachedListAreReadyWithoutDiscovery) {
   for (const bool discovery_accepts : {true, false}) {
     const auto nodes = start_nodes(discovery_accepts);
     for (const auto& node : nodes) {
@@ -101,7 +101,7 @@
   }
 }
 
-TEST(Startup, ANodeIsReadySoonAfterDiscoveryStopsRefusing) {
+TEST(Startup, NodeIsReadySoonAfterDiscoveryRecovers) {
   for (const bool awaits_watch : {true, false}) {
     RestartedNodeFixture fixture(awaits_watch);
     fixture.config.known_endpoints.clear();
@@ -119,7 +119,7 @@
 }
 
 // The predecessor still has a request in flight, or is suspended and can't free its share of the limits.
-TEST(Startup, AReplacementIsReadyWhileTheProcessBeforeIsThere) {
+TEST(Startup, SuccessorIsReadyWhileItsPredecessorIsAlive) {
   for (const bool is_suspended : {false, true}) {
     RestartedNodeFixture fixture;
     const auto predecessor = fixture.start_process();
--- a/tests/node/streaming_test.cpp
+++ b/tests/node/streaming_test.cpp
@@ -72,7 +72,7 @@
 constexpr long kMaxPeakMemoryKb = std::numeric_limits<long>::max();  // the sanitizers use memory of their own
 #endif
 
-TEST(Stream, LargeAnswersPassInBoundedMemory) {
+TEST(Streaming, LargeResponsesUseBoundedMemory) {
   StreamingFixture fixture;
   const std::string body = body_of(32 * kMebibyte);
   TestSocket client = fixture.connect_client();
@@ -95,7 +95,7 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(Stream, AnswersOfAnyFramingPassUnchanged) {
+TEST(Streaming, ResponsesOfAnyFramingAreUnchanged) {
   const std::string body = body_of(300000);
   std::string chunked;
   for (std::size_t position = 0, size = 1; position < body.size();
@@ -131,7 +131,7 @@
   }
 }
 
-TEST(Stream, SmallAnswersThatEndWithTheirConnectionAreWhole) {
+TEST(Streaming, SmallResponseEndedByItsConnectionIsComplete) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
   TestSocket server = fixture.forward(client);
@@ -141,7 +141,7 @@
 }
 
 // A body for an HTTP/1.0 client ends with its connection.
-TEST(Stream, OldClientsGetNoChunks) {
+TEST(Streaming, Http10ClientsGetNoChunks) {
   StreamingFixture fixture;
   const std::string body = body_of(200000);
   TestSocket client = fixture.connect_client();
@@ -155,7 +155,7 @@
   EXPECT_TRUE(client.closed_by_peer());
 }
 
-TEST(Stream, TheFirstBytesWaitForNothing) {
+TEST(Streaming, FirstBytesAreForwardedAtOnce) {
   for (const bool length_known : {true, false}) {
     StreamingFixture fixture;
     TestSocket client = fixture.connect_client();
@@ -171,7 +171,7 @@
   }
 }
 
-TEST(Stream, AnAnswerThatBreaksShowsAsBroken) {
+TEST(Streaming, BrokenResponseIsVisiblyIncomplete) {
   for (const std::string& head : {length_field(1000000), std::string("Transfer-Encoding: chunked\r\n\r\n")}) {
     StreamingFixture fixture;
     const std::string first_part = body_of(100000);
@@ -194,7 +194,7 @@
   }
 }
 
-TEST(Stream, LargeRequestsPassInBoundedMemory) {
+TEST(Streaming, LargeRequestsUseBoundedMemory) {
   for (const bool is_chunked : {false, true}) {
     StreamingFixture fixture;
     const std::string body = body_of(32 * kMebibyte);
@@ -232,7 +232,7 @@
 }
 
 // A retry needs the complete body so far: the node buffers its beginning, and not what follows.
-TEST(Stream, OnlyWhatIsStillHereIsSentAgain) {
+TEST(Streaming, OnlyBufferedRequestsAreRetried) {
   const std::string body = body_of(32 * kMebibyte), first_part = body.substr(0, 66000);
   {
     NodeFixture fixture;
@@ -264,7 +264,7 @@
   EXPECT_TRUE(fixture.servers_are_idle());
 }
 
-TEST(Stream, AClientThatLeavesMidwayIsNoRequest) {
+TEST(Streaming, IncompleteUploadOfDepartedClientIsNotCounted) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
   client.send(request_head("close") + length_field(kMebibyte) + body_of(100000));
@@ -277,7 +277,7 @@
   EXPECT_EQ(fixture.metric("upstream_requests"), 0) << "no request was forwarded completely";
 }
 
-TEST(Stream, AServerMayAnswerBeforeItHasHeardAll) {
+TEST(Streaming, ServerMayRespondBeforeTheEndOfTheRequest) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
   client.send(request_head("close") + length_field(kMebibyte) + body_of(100000));
@@ -288,7 +288,7 @@
 }
 
 // The body is malformed only after its request has been forwarded: no server may get a complete request.
-TEST(Stream, ABodyThatTurnsOutUnsoundIsCutOff) {
+TEST(Streaming, MalformedBodyIsCutOff) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
   client.send(request_head("close") + "Transfer-Encoding: chunked\r\n\r\n" + chunk(body_of(100000)));
@@ -299,7 +299,7 @@
   EXPECT_FALSE(read_chunked_body(server).is_complete);
 }
 
-TEST(Stream, BodiesThatNobodyWantsAreNotKept) {
+TEST(Streaming, BodiesOfRejectedRequestsAreNotBuffered) {
   StreamingFixture fixture;
   std::vector<TestSocket> clients;
   for (int i = 0; i < 4; ++i) {
@@ -315,7 +315,7 @@
 }
 
 // A response that is still being forwarded at the end of the drain is not cut off by the process.
-TEST(Stream, ALargeAnswerOutlivesTheDrain) {
+TEST(Streaming, LargeResponseOutlivesTheDrain) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client(), uploading = fixture.connect_client();
   TestSocket server = fixture.forward(client);
@@ -341,7 +341,7 @@
   EXPECT_EQ(fixture.node->wait_for_exit(), 0);
 }
 
-TEST(Stream, SlowClientsAreServedAndSilentOnesAreNot) {
+TEST(Streaming, SlowClientsAreServedAndSilentOnesTimeOut) {
   StreamingFixture fixture;
   TestSocket slow = fixture.connect_client(), silent = fixture.connect_client();
   const std::string body = body_of(200000), head = request_head("close") + length_field(body.size());
--- a/tests/node/upstream_connection_test.cpp
+++ b/tests/node/upstream_connection_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(UpstreamConnection, NeverUsesAConnectionToTheProcessBefore) {
+TEST(UpstreamConnection, ConnectionToAnEarlierIncarnationIsNotUsed) {
   NodeFixture fixture;
   auto [client, old_server] = fixture.start_with_forwarded_request();
   const int new_incarnation_ms = 5;
@@ -26,7 +26,7 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(UpstreamConnection, DoesNotWriteOnAConnectionThatTheServerHasClosed) {
+TEST(UpstreamConnection, ConnectionThatTheServerHasClosedIsNotUsed) {
   NodeFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request();
   server.send(ok_response());
@@ -39,7 +39,7 @@
 
 // A keep-alive connection that breaks under its next request costs that request its response, or an attempt.
 // Once that has been observed, requests use connections that were just used, or new ones.
-TEST(UpstreamConnection, KeepsRequestsOffConnectionsThatGoStale) {
+TEST(UpstreamConnection, StaleConnectionsAreNotUsed) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -69,7 +69,7 @@
   expect_served_by(fourth);
 }
 
-TEST(UpstreamConnection, ClosesIdleConnectionsBeforeTheServersDo) {
+TEST(UpstreamConnection, IdleConnectionIsClosedBeforeTheServersTimeout) {
   NodeFixture fixture;
   fixture.config.idle_close_s = 4;
   auto [client, server] = fixture.start_with_forwarded_request();
@@ -79,7 +79,7 @@
   EXPECT_LT(stopwatch.seconds(), 4);
 }
 
-TEST(UpstreamConnection, DrainsStopSendsThatWaitForAConnection) {
+TEST(UpstreamConnection, DrainMigratesRequestsThatWaitForAConnection) {
   const SlowAcceptingServer unreachable_server;
   NodeFixture fixture;
   fixture.config.connect_timeout_s = 10;
@@ -92,7 +92,7 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(UpstreamConnection, GivesUpConnectionsThatNeverComeUp) {
+TEST(UpstreamConnection, ConnectionAttemptTimesOut) {
   const SlowAcceptingServer unreachable_server;
   NodeFixture fixture;
   fixture.start_with(endpoint("s0", unreachable_server.port()));
@@ -103,7 +103,7 @@
   EXPECT_LT(stopwatch.seconds(), 1.9);
 }
 
-TEST(UpstreamConnection, FollowsAServerToItsNewAddress) {
+TEST(UpstreamConnection, NewAddressOfAServerIsUsed) {
   NodeFixture fixture;
   auto [client, old_server] = fixture.start_with_forwarded_request();
   old_server.send(ok_response());
@@ -119,7 +119,7 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(UpstreamConnection, IdleConnectionsToOneServerMakeRoomForAnother) {
+TEST(UpstreamConnection, IdleConnectionsAreClosedForAnotherServer) {
   NodeFixture fixture;
   fixture.config.max_sockets = 64;  // ten of them for servers
   fixture.start_with_one_server();
--- a/tests/node/upstream_response_test.cpp
+++ b/tests/node/upstream_response_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Each response is invalid on a connection that stays open: it ends its attempt at once, and the connection.
-TEST(UpstreamResponse, GivesUpInvalidResponsesAtOnce) {
+TEST(UpstreamResponse, InvalidResponseFailsItsAttemptAtOnce) {
   const std::string good = "HTTP/1.1 200 OK\r\n";
   const std::vector<std::string> responses = {
       good + "Content-Length: 3000000000\r\n\r\n" + std::string(1000, 'x'),
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(UpstreamResponse, DeliversAGoodAnswerWithMoreBehindAndNeverUsesItsConnectionAgain) {
+TEST(UpstreamResponse, ResponseWithTrailingBytesIsForwardedAndItsConnectionClosed) {
   for (const bool at_once : {true, false}) {
     NodeFixture fixture;
     auto [client, server] = fixture.start_with_forwarded_request(request("close", "", "one"));
@@ -53,7 +53,7 @@
 }
 
 // Servers send responses several times as large as the protocol's 64 KiB.
-TEST(UpstreamResponse, PassesOnLargeAnswersWhole) {
+TEST(UpstreamResponse, LargeResponsesAreForwardedCompletely) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client(), server;
@@ -67,7 +67,7 @@
   }
 }
 
-TEST(UpstreamResponse, TakesInterimAnswersForWhatTheyAre) {
+TEST(UpstreamResponse, InterimResponsesAreSkipped) {
   NodeFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request();
   server.send("HTTP/1.1 100 Continue\r\n\r\n" + ok_response("final"));
