--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -143,15 +143,8 @@
 
   // Failed: it may have run.
   client.send(request_with_id("close", "r2"));
-  TestSocket third;
-  wait_until([&] {
-    if (!second.is_idle()) {
-      third = std::move(second);
-    } else if (!fixture.servers_are_idle()) {
-      third = fixture.accept_at_either_server();
-    }
-    return third.is_open();
-  });
+  wait_until([&] { return !second.is_idle() || !fixture.servers_are_idle(); });
+  TestSocket third = second.is_idle() ? fixture.accept_at_either_server() : std::move(second);
   third.read_message();
   third.send(with_content_length("HTTP/1.1 500 Error\r\nConnection: close\r\n", ""));
   client.read_message();
