--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -5,10 +5,14 @@
 #include <functional>
 #include <memory>
 
-#include "scale/process.h"
-#include "scale/report.h"
+#include "scale/measurement/process_usage.h"
+#include "scale/measurement/report.h"
 #include "scale/slopes.h"
+#include "scale/stand_ins/discovery_process.h"
+#include "scale/stand_ins/node_setup.h"
 #include "scale/stand_ins/simulated_node.h"
+#include "scale/stand_ins/stand_in_discovery.h"
+#include "support/wait_until.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -17,8 +21,8 @@
 
 // Whether it came about in time.
 bool run_until(boost::asio::io_context& io, double limit_s, const std::function<bool()>& holds) {
-  for (const double from = seconds(); !holds();) {
-    if (seconds() - from > limit_s) return false;
+  for (const double from = test_support::steady_seconds(); !holds();) {
+    if (test_support::steady_seconds() - from > limit_s) return false;
     io.restart();
     io.run_one_for(std::chrono::milliseconds(50));
   }
@@ -49,8 +53,8 @@
     trial->discovery = std::make_unique<StandInDiscovery>(io, servers, 10000);
     NodeSetup setup;
     setup.discovery_port = trial->discovery->port();
-    setup.copies = servers;
-    setup.pushed = !options.flag("asked");
+    setup.replicas = servers;
+    setup.list_delivery = options.flag("asked") ? ListDelivery::kSubscribed : ListDelivery::kPushed;
     trial->node = std::make_unique<SimulatedNode>(io, config_text(setup));
     trial->node->start();
     trial->ready = run_until(io, 3, [&] { return trial->node->has_endpoints(); });
@@ -89,7 +93,7 @@
       "time from a change until N simulated nodes have acted on it, ms; and of all starting at once",
       {"nodes", "half of them", "last, median", "last, worst", "last ready", "start bytes", "change bytes",
        "sent to a drained one", "this process MB"});
-  const std::size_t descriptors = raise_descriptors();
+  const std::size_t descriptors = raise_descriptor_limit();
   for (const std::size_t nodes : options.sizes("nodes", {10, 100, 1000, 4000})) {
     if (nodes + 100 > descriptors) throw std::runtime_error("too few descriptors for so many nodes");
     DiscoveryProcess discovery(servers, 10000);
@@ -102,18 +106,18 @@
     const auto act = [&](SimulatedNode& node) {
       if (node.list_version() != wanted) return;
       if (const std::string server = node.handle_request(); server == drained && !drained.empty()) ++wrong;
-      acted.push_back(seconds());
+      acted.push_back(test_support::steady_seconds());
     };
     for (std::size_t i = 0; i < nodes; ++i) {
       NodeSetup setup;
       setup.discovery_port = discovery.port();
-      setup.position = i;
-      setup.copies = nodes;
-      setup.pushed = !options.flag("asked");
+      setup.replica_index = i;
+      setup.replicas = nodes;
+      setup.list_delivery = options.flag("asked") ? ListDelivery::kSubscribed : ListDelivery::kPushed;
       setup.seed = i + 1;
       all.push_back(std::make_unique<SimulatedNode>(io, config_text(setup), act));
     }
-    const double began = seconds();
+    const double began = test_support::steady_seconds();
     for (const auto& node : all) node->start();
     const bool ready = run_until(io, kLimit, [&] { return acted.size() >= nodes; });
     const double start = acted.empty() ? 0 : acted.back() - began;
--- a/scale/report.cpp
+++ b/scale/measurement/report.cpp
@@ -1,4 +1,4 @@
-#include "scale/report.h"
+#include "scale/measurement/report.h"
 
 #include <unistd.h>
 
--- a/scale/module_guard_test.cpp
+++ b/scale/module_guard_test.cpp
@@ -14,10 +14,11 @@
 
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
-#include "scale/allocations.h"
-#include "scale/process.h"
+#include "scale/measurement/allocations.h"
+#include "scale/stand_ins/node_setup.h"
 #include "scale/stand_ins/simulated_node.h"
 #include "scale/stand_ins/stand_in_discovery.h"
+#include "support/wait_until.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -28,7 +29,7 @@
 
 balancer::Settings settings_for(std::size_t copies, int tier = 1) {
   NodeSetup setup;
-  setup.copies = copies;
+  setup.replicas = copies;
   setup.tier = tier;
   return node::config::read_config(config_text(setup)).settings;
 }
@@ -59,7 +60,7 @@
       const Allocations end = handle(balancer::AttemptResult{
           request.id, attempt, fails ? balancer::Outcome::kConnectFailed : balancer::Outcome::kSuccess, 0.002,
           !fails});
-      out.calls += end.calls;
+      out.count += end.count;
       out.bytes += end.bytes;
     }
     return out;
@@ -69,7 +70,7 @@
     const Allocations before = allocations();
     balancer.handle(now, event, actions);
     const Allocations after = allocations();
-    return {after.calls - before.calls, after.bytes - before.bytes, 0, 0};
+    return {after.count - before.count, after.bytes - before.bytes, 0, 0};
   }
   Allocations change(std::size_t place, balancer::EndpointState state) {
     balancer::EndpointUpdate one;
@@ -89,7 +90,7 @@
 };
 
 Allocations more(const Allocations& a, const Allocations& b) {
-  return {std::max(a.calls, b.calls), std::max(a.bytes, b.bytes), 0, 0};
+  return {std::max(a.count, b.count), std::max(a.bytes, b.bytes), 0, 0};
 }
 
 // What a call allocates does not depend on how many servers there are, with the subset well or ill.
@@ -100,14 +101,14 @@
     Allocations most;
     module.sends = 0;
     for (int i = 0; i < 300; ++i) most = more(most, module.call());
-    EXPECT_LE(most.calls, 8U) << servers;
+    EXPECT_LE(most.count, 8U) << servers;
     EXPECT_LE(most.bytes, 1500U) << servers;
     EXPECT_EQ(module.sends, 300U) << servers;
     module.learned = module.ill = true;
     for (int i = 0; i < 300; ++i) module.call();  // what it looks through grows once
     most = {};
     for (int i = 0; i < 300; ++i) most = more(most, module.call());
-    EXPECT_LE(most.calls, 16U) << servers;
+    EXPECT_LE(most.count, 16U) << servers;
     EXPECT_LE(most.bytes, 3000U) << servers;
   }
 }
@@ -123,7 +124,7 @@
                                                         : balancer::EndpointState::kReady));
       EXPECT_TRUE(module.actions.empty()) << servers;
     }
-    EXPECT_LE(most.calls, 40U) << servers;
+    EXPECT_LE(most.count, 40U) << servers;
     EXPECT_LE(most.bytes, 2000U) << servers;
   }
 }
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -7,11 +7,13 @@
 #include <set>
 #include <unordered_map>
 
-#include "scale/allocations.h"
-#include "scale/process.h"
-#include "scale/report.h"
+#include "scale/measurement/allocations.h"
+#include "scale/measurement/report.h"
 #include "scale/slopes.h"
+#include "scale/stand_ins/endpoint_lists.h"
+#include "scale/stand_ins/node_setup.h"
 #include "scale/stand_ins/simulated_node.h"
+#include "support/wait_until.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -54,7 +56,7 @@
 
 balancer::Settings settings_for(std::size_t servers, const Options& options, int tier) {
   NodeSetup setup;
-  setup.copies = static_cast<std::size_t>(options.number("copies", static_cast<double>(servers)));
+  setup.replicas = static_cast<std::size_t>(options.number("copies", static_cast<double>(servers)));
   setup.tier = tier;
   return node::config::read_config(config_text(setup)).settings;
 }
@@ -254,24 +256,24 @@
                  "after a change", "a change allocates", "in so many calls"});
   for (const std::size_t servers : options.sizes("sizes", kSizes)) {
     const std::string text = snapshot_text(1, servers, kDialPort);
-    const std::size_t before_read = allocations().live;
+    const std::size_t before_read = allocations().live_bytes;
     reset_peak();
     std::size_t read = 0, read_peak = 0;
     balancer::EndpointUpdate first;
     {
       const auto list = node::config::read_endpoint_list(text, kZones);
-      read = allocations().live - before_read;
-      read_peak = allocations().peak - before_read;
+      read = allocations().live_bytes - before_read;
+      read_peak = allocations().peak_bytes - before_read;
       first = to_endpoint_update(list);
     }
     std::vector<balancer::Action> actions;
     const balancer::Settings settings = settings_for(servers, options, 1);
-    const std::size_t before = allocations().live;
+    const std::size_t before = allocations().live_bytes;
     balancer::Balancer module(settings, 1);
-    const std::size_t empty = allocations().live - before;
+    const std::size_t empty = allocations().live_bytes - before;
     reset_peak();
     module.handle(100, first, actions);
-    const std::size_t held = allocations().live - before, peak = allocations().peak - before;
+    const std::size_t held = allocations().live_bytes - before, peak = allocations().peak_bytes - before;
     balancer::EndpointUpdate change;
     change.form = balancer::EndpointUpdate::Form::kIncremental;
     change.endpoints = {first.endpoints[servers / 2]};
@@ -284,8 +286,8 @@
     report.row({std::to_string(servers), std::to_string(held),
                 figure(static_cast<double>(held - empty) / static_cast<double>(servers)),
                 std::to_string(peak), std::to_string(read), std::to_string(read_peak),
-                std::to_string(to.live - before), std::to_string(to.bytes - from.bytes),
-                std::to_string(to.calls - from.calls)});
+                std::to_string(to.live_bytes - before), std::to_string(to.bytes - from.bytes),
+                std::to_string(to.count - from.count)});
   }
   report.print(options.text("json", ""));
 }
--- a/scale/polling_guard_test.cpp
+++ b/scale/polling_guard_test.cpp
@@ -14,10 +14,11 @@
 
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
-#include "scale/allocations.h"
-#include "scale/process.h"
+#include "scale/measurement/allocations.h"
+#include "scale/stand_ins/node_setup.h"
 #include "scale/stand_ins/simulated_node.h"
 #include "scale/stand_ins/stand_in_discovery.h"
+#include "support/wait_until.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -27,7 +28,7 @@
 
 balancer::Settings settings_for(std::size_t copies, int tier = 1) {
   NodeSetup setup;
-  setup.copies = copies;
+  setup.replicas = copies;
   setup.tier = tier;
   return node::config::read_config(config_text(setup)).settings;
 }
@@ -39,9 +40,9 @@
     for (std::size_t i = 0; i < count; ++i) {
       NodeSetup setup;
       setup.discovery_port = discovery.port();
-      setup.position = i;
-      setup.copies = count;
-      setup.pushed = pushed;
+      setup.replica_index = i;
+      setup.replicas = count;
+      setup.list_delivery = pushed ? ListDelivery::kPushed : ListDelivery::kSubscribed;
       setup.seed = i + 1;
       nodes.push_back(std::make_unique<SimulatedNode>(io, config_text(setup)));
     }
@@ -51,8 +52,8 @@
 
   template <class Condition>
   void until(const Condition& holds) {
-    for (const double from = seconds(); !holds();) {
-      if (seconds() - from > 60) throw std::runtime_error("it did not come about");
+    for (const double from = test_support::steady_seconds(); !holds();) {
+      if (test_support::steady_seconds() - from > 60) throw std::runtime_error("it did not come about");
       io.restart();
       io.run_one_for(std::chrono::milliseconds(50));
     }
@@ -202,11 +203,12 @@
   discovery.set_mode(DiscoveryMode::kCorrupt);
   NodeSetup setup;
   setup.discovery_port = discovery.port();
-  setup.pushed = GetParam();
+  setup.list_delivery = GetParam() ? ListDelivery::kPushed : ListDelivery::kSubscribed;
   SimulatedNode node(io, config_text(setup));
   node.start();
   const auto until = [&](const auto& holds) {
-    for (const double from = seconds(); !holds() && seconds() - from < 60;) {
+    for (const double from = test_support::steady_seconds();
+         !holds() && test_support::steady_seconds() - from < 60;) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(50));
     }
--- a/scale/slopes.cpp
+++ b/scale/slopes.cpp
@@ -8,6 +8,9 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "scale/stand_ins/node_setup.h"
+#include "support/wait_until.h"
+
 namespace asterdrift::scale {
 namespace {
 
