--- a/scale/measurement/report.cpp
+++ b/scale/measurement/report.cpp
@@ -3,26 +3,38 @@
 #include <unistd.h>
 
 #include <algorithm>
-#include <cmath>
+#include <cerrno>
+#include <cstddef>
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
+#include <system_error>
 #include <utility>
 
 namespace asterdrift::scale {
 namespace {
 
 double load_average() {
-  double out = 0;
-  return getloadavg(&out, 1) == 1 ? out : -1;
+  double load = 0;
+  return getloadavg(&load, 1) == 1 ? load : -1;
 }
 
 std::string quoted(const std::string& text) { return "\"" + text + "\""; }
 
-std::string joined(const std::vector<std::string>& cells) {
-  std::string out;
-  for (const std::string& cell : cells) out += (out.empty() ? "" : ", ") + quoted(cell);
-  return "[" + out + "]";
+std::string json_array(const std::vector<std::string>& texts) {
+  std::string elements;
+  for (const std::string& text : texts) {
+    if (!elements.empty()) elements += ", ";
+    elements += quoted(text);
+  }
+  return "[" + elements + "]";
+}
+
+void print_line(const std::vector<std::string>& cells, const std::vector<std::size_t>& widths) {
+  for (std::size_t column = 0; column < widths.size(); ++column) {
+    std::printf("| %*s ", static_cast<int>(widths[column]), cells[column].c_str());
+  }
+  std::printf("|\n");
 }
 
 }  // namespace
@@ -30,60 +42,55 @@
 Report::Report(std::string title, std::vector<std::string> columns)
     : title_(std::move(title)), columns_(std::move(columns)), load_before_(load_average()) {}
 
-void Report::row(std::vector<std::string> cells) {
-  std::string line;
-  for (const std::string& cell : cells) line += " " + cell;
-  std::fprintf(stderr, "%s\n", line.c_str());  // long runs show how far they are
+void Report::add_row(std::vector<std::string> cells) {
+  for (const std::string& cell : cells) std::fprintf(stderr, " %s", cell.c_str());
+  std::fprintf(stderr, "\n");
   rows_.push_back(std::move(cells));
 }
 
 void Report::print(const std::string& json_path) const {
-  std::vector<std::size_t> widths;
-  for (std::size_t i = 0; i < columns_.size(); ++i) {
-    widths.push_back(columns_[i].size());
-    for (const auto& row : rows_) widths.back() = std::max(widths.back(), row[i].size());
-  }
-  const auto line = [&](const std::vector<std::string>& cells) {
-    for (std::size_t i = 0; i < cells.size(); ++i)
-      std::printf("| %*s ", static_cast<int>(widths[i]), cells[i].c_str());
-    std::printf("|\n");
-  };
   const double load_after = load_average();
   const long cores = sysconf(_SC_NPROCESSORS_ONLN);
   std::printf("%s\nload average before %.1f, after %.1f, on %ld cores\n\n", title_.c_str(), load_before_,
               load_after, cores);
-  line(columns_);
-  std::vector<std::string> rule;
-  rule.reserve(widths.size());
-  for (const std::size_t width : widths) rule.emplace_back(width, '-');
-  line(rule);
-  for (const auto& row : rows_) line(row);
+  print_table();
   for (const std::string& note : notes_) std::printf("%s\n", note.c_str());
   std::fflush(stdout);
-  if (json_path.empty()) return;
-  std::ofstream out(json_path);
-  out << "{\"title\": " << quoted(title_) << ", \"load_before\": " << load_before_
-      << ", \"load_after\": " << load_after << ", \"cores\": " << cores
-      << ",\n \"columns\": " << joined(columns_) << ",\n \"rows\": [";
-  for (std::size_t i = 0; i < rows_.size(); ++i) out << (i == 0 ? "\n  " : ",\n  ") << joined(rows_[i]);
-  out << "],\n \"notes\": " << joined(notes_) << "}\n";
+  if (!json_path.empty()) write_json(json_path, load_after, cores);
 }
 
-std::string figure(double value, int decimals) {
-  char out[64];
-  std::snprintf(out, sizeof out, "%.*f", decimals, value);
-  return out;
+void Report::print_table() const {
+  std::vector<std::size_t> widths;
+  std::vector<std::string> rule;
+  for (std::size_t column = 0; column < columns_.size(); ++column) {
+    std::size_t width = columns_[column].size();
+    for (const auto& row : rows_) width = std::max(width, row[column].size());
+    widths.push_back(width);
+    rule.emplace_back(width, '-');
+  }
+  print_line(columns_, widths);
+  print_line(rule, widths);
+  for (const auto& row : rows_) print_line(row, widths);
 }
 
-double quantile(const std::vector<double>& sorted, double part) {
-  if (sorted.empty()) return 0;
-  const auto rank = static_cast<std::size_t>(std::ceil(part * static_cast<double>(sorted.size())));
-  return sorted[std::clamp<std::size_t>(rank, 1, sorted.size()) - 1];
+void Report::write_json(const std::string& path, double load_after, long cores) const {
+  std::ofstream file(path);
+  file << "{\"title\": " << quoted(title_) << ", \"load_before\": " << load_before_
+       << ", \"load_after\": " << load_after << ", \"cores\": " << cores
+       << ",\n \"columns\": " << json_array(columns_) << ",\n \"rows\": [";
+  const char* separator = "\n  ";
+  for (const auto& row : rows_) {
+    file << separator << json_array(row);
+    separator = ",\n  ";
+  }
+  file << "],\n \"notes\": " << json_array(notes_) << "}\n" << std::flush;
+  if (!file) throw std::system_error(errno, std::generic_category(), "write " + path);
 }
 
-double median(std::vector<double> values) {
-  std::sort(values.begin(), values.end());
-  return quantile(values, 0.5);
+std::string format_fixed(double value, int decimals) {
+  char text[64];
+  std::snprintf(text, sizeof text, "%.*f", decimals, value);
+  return text;
 }
 
 }  // namespace asterdrift::scale
--- a/scale/polling_guard_test.cpp
+++ b/scale/polling_guard_test.cpp
@@ -15,6 +15,7 @@
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
 #include "scale/measurement/allocations.h"
+#include "scale/stand_ins/endpoint_updates.h"
 #include "scale/stand_ins/node_setup.h"
 #include "scale/stand_ins/simulated_node.h"
 #include "scale/stand_ins/stand_in_discovery.h"
--- a/scale/stand_ins/endpoint_lists.cpp
+++ b/scale/stand_ins/endpoint_lists.cpp
@@ -39,8 +39,8 @@
 }
 
 const std::vector<std::string>& endpoint_zones() {
-  static const std::vector<std::string> zones = {"a", "b", "c"};
-  return zones;
+  static const std::vector<std::string> kZones = {"a", "b", "c"};
+  return kZones;
 }
 
 std::string snapshot_text(std::uint64_t version, std::size_t endpoints, int endpoint_port) {
--- a/scale/stand_ins/simulated_node.cpp
+++ b/scale/stand_ins/simulated_node.cpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "node/base/clock.h"
+#include "scale/stand_ins/endpoint_updates.h"
 
 namespace asterdrift::scale {
 namespace {
@@ -17,16 +18,6 @@
 
 }  // namespace
 
-balancer::EndpointUpdate to_endpoint_update(const node::config::EndpointList& list) {
-  balancer::EndpointUpdate update;
-  update.form = list.is_snapshot ? balancer::EndpointUpdate::Form::kSnapshot
-                                 : balancer::EndpointUpdate::Form::kIncremental;
-  for (const node::config::ListedEndpoint& listed : list.endpoints) {
-    update.endpoints.push_back(listed.endpoint);
-  }
-  return update;
-}
-
 SimulatedNode::SimulatedNode(boost::asio::io_context& io, const std::string& config,
                              ListHandler on_list_applied)
     : io_(io),
@@ -50,7 +41,7 @@
   request.time_left = kRequestTimeout;
   attempted_endpoint_.clear();
   handle(request);
-  const std::string endpoint = attempted_endpoint_;
+  std::string endpoint = attempted_endpoint_;
   if (!endpoint.empty()) {
     handle(balancer::AttemptResult{request.id, 0, balancer::Outcome::kSuccess, kResponseLatency, true});
   }
--- a/scale/stand_ins/simulated_node.h
+++ b/scale/stand_ins/simulated_node.h
@@ -56,7 +56,4 @@
   std::string attempted_endpoint_;  // of the request that is being handled
 };
 
-// The balancer's event for a list.
-balancer::EndpointUpdate to_endpoint_update(const node::config::EndpointList& list);
-
 }  // namespace asterdrift::scale
