--- /dev/null
+++ b/scale/guards/simulated_fleet.cpp
@@ -0,0 +1,50 @@
+#include "scale/guards/simulated_fleet.h"
+
+#include <algorithm>
+#include <chrono>
+
+#include "scale/stand_ins/endpoint_lists.h"
+#include "scale/stand_ins/event_loop.h"
+#include "support/wait_until.h"
+
+namespace asterdrift::scale {
+namespace {
+
+constexpr std::chrono::seconds kLimit{60};
+
+}  // namespace
+
+SimulatedFleet::SimulatedFleet(std::size_t servers, std::size_t nodes, ListDelivery list_delivery)
+    : discovery_(io_, servers, kUnusedEndpointPort) {
+  for (std::size_t index = 0; index < nodes; ++index) {
+    NodeSetup setup;
+    setup.discovery_port = discovery_.port();
+    setup.replica_index = index;
+    setup.replicas = nodes;
+    setup.list_delivery = list_delivery;
+    setup.seed = index + 1;
+    nodes_.push_back(std::make_unique<SimulatedNode>(io_, config_text(setup)));
+  }
+  for (const auto& node : nodes_) node->start();
+  wait_until_current();
+}
+
+void SimulatedFleet::wait_until(const std::function<bool()>& condition) {
+  const bool holds = run_until(io_, static_cast<double>(kLimit.count()), condition);
+  if (!holds) throw test_support::TimeoutError("a condition of the simulated fleet", kLimit);
+}
+
+void SimulatedFleet::wait_until_current() {
+  wait_until([&] {
+    return std::all_of(nodes_.begin(), nodes_.end(),
+                       [&](const auto& node) { return node->list_version() == discovery_.version(); });
+  });
+}
+
+std::uint64_t SimulatedFleet::failed_watches() const {
+  std::uint64_t failed = 0;
+  for (const auto& node : nodes_) failed += node->counts().failed_watches;
+  return failed;
+}
+
+}  // namespace asterdrift::scale
