--- a/scale/capacity/control_plane_calculations.cpp
+++ b/scale/capacity/control_plane_calculations.cpp
@@ -31,8 +31,8 @@
   results.add("control.agents", format_number(agents));
   results.add("control.state", format_bytes(list_bytes(servers)));
   results.add("control.log", format_bytes(log_changes * (list_bytes(0) + entry_bytes())));
-  results.add("control.empty_messages", format_number(heartbeats) + "/s");
-  results.add("control.empty_bytes",
+  results.add("control.heartbeat_messages", format_number(heartbeats) + "/s");
+  results.add("control.heartbeat_bytes",
               format_bytes(heartbeats * (1 + assumption::kMessageOverhead.value), "/s"));
   add_traffic(results, "mean", agents * fleet.change_rate, change_message_bytes());
   add_traffic(results, "busy", agents * fleet.change_rate * assumption::kBusiestMinuteFactor.value,
@@ -45,9 +45,9 @@
               batch_message_bytes(servers / assumption::kZones.value * assumption::kBatchPeriod.value));
   // With lists of the called services alone, only agents that call the largest one are notified of its
   // release.
-  results.add("control.hears", format_with_unit(caller_fraction * 100, "%"));
+  results.add("control.notified_fraction", format_with_unit(caller_fraction * 100, "%"));
   add_traffic(results, "release_sized", agents * caller_fraction * release_changes, change_message_bytes());
-  results.add("control.peers",
+  results.add("control.peer_messages",
               format_number(fleet.change_rate * (assumption::kControlMachines.value - 1)) + "/s");
 }
 
--- a/scale/capacity/endpoint_list_calculations.cpp
+++ b/scale/capacity/endpoint_list_calculations.cpp
@@ -6,14 +6,12 @@
 
 #include "scale/capacity/assumptions.h"
 #include "scale/capacity/calculations.h"
+#include "scale/capacity/units.h"
 #include "scale/capacity/value_format.h"
 
 namespace asterdrift::scale::capacity {
 namespace {
 
-constexpr double kMicrosecondsPerSecond = 1e6;
-constexpr double kPercentPerMicrosecondRate = 1e4;  // a rate times us, over this, is percent of a core
-
 // The list of one node.
 struct ListScope {
   std::string name;                // the prefix of its keys
@@ -28,7 +26,7 @@
         scope_(std::move(scope)),
         idle_processor_(measurements.value("idle_cpu")),
         change_us_(CostCurve(measurements, "change_us").at(scope_.servers)),
-        list_us_(CostCurve(measurements, "list_us").at(scope_.servers)),
+        snapshot_us_(CostCurve(measurements, "snapshot_us").at(scope_.servers)),
         resident_mb_(CostCurve(measurements, "resident_mb").at(scope_.servers)),
         change_rate_(fleet.change_rate),
         fleet_fraction_(scope_.servers / assumption::kServers.value) {}
@@ -39,7 +37,7 @@
     add_steady_state("busy", assumption::kBusiestMinuteFactor.value);
     add_burst("release", assumption::kReleaseFraction.value * scope_.largest_service_servers);
     add_burst("zone", scope_.servers / assumption::kZones.value);
-    add_burst("cut", change_rate_ * fleet_fraction_ * assumption::kPartitionTime.value);
+    add_burst("partition", change_rate_ * fleet_fraction_ * assumption::kPartitionTime.value);
   }
 
  private:
@@ -52,7 +50,7 @@
     add("list_time", format_seconds(bytes / kBandwidthLimit));
     add("memory", format_with_unit(resident_mb_, "MB"));
     add("memory_left", format_headroom(resident_mb_, assumption::kMemoryLimit.value));
-    add("list_cpu", format_seconds(list_us_ / kMicrosecondsPerSecond));
+    add("list_cpu", format_seconds(snapshot_us_ / kMicrosecondsPerSecond));
   }
 
   // Changes at a multiple of their mean rate, and the empty lines of the watch.
@@ -61,7 +59,7 @@
         (1 + assumption::kMessageOverhead.value) / assumption::kHeartbeatPeriod.value;
     const double rate = change_rate_ * fleet_fraction_ * factor;
     const double bytes = rate * change_message_bytes() + heartbeat_bytes;
-    const double processor = idle_processor_ + rate * change_us_ / kPercentPerMicrosecondRate;
+    const double processor = idle_processor_ + rate * change_us_ / kRateCostPerPercent;
     add(when + "_changes", format_number(rate) + "/s");
     add(when + "_messages", format_number(rate + 1 / assumption::kHeartbeatPeriod.value) + "/s");
     add(when + "_bytes", format_bytes(bytes, "/s"));
@@ -74,13 +72,13 @@
   void add_burst(const std::string& event, double entries) {
     const double bytes = entries * change_message_bytes();
     const double processor_time = entries * change_us_ / kMicrosecondsPerSecond;
-    const double list_time = list_us_ / kMicrosecondsPerSecond;
+    const double snapshot_time = snapshot_us_ / kMicrosecondsPerSecond;
     add(event + "_entries", format_number(std::round(entries)));
     add(event + "_bytes", format_bytes(bytes));
-    add(event + "_bytes_one", format_bytes(batch_message_bytes(entries)));
+    add(event + "_bytes_batched", format_bytes(batch_message_bytes(entries)));
     add(event + "_bytes_time", format_seconds(bytes / kBandwidthLimit));
     add(event + "_cpu", format_seconds(processor_time));
-    add(event + "_cpu_one", format_seconds(std::min(processor_time, list_time)));
+    add(event + "_cpu_batched", format_seconds(std::min(processor_time, snapshot_time)));
   }
 
   static constexpr double kBandwidthLimit = assumption::kBandwidthLimit.value * kBytesPerKilobyte;
@@ -88,7 +86,7 @@
   Results& results_;
   ListScope scope_;
   double idle_processor_;  // percent of a core
-  double change_us_, list_us_, resident_mb_;
+  double change_us_, snapshot_us_, resident_mb_;
   double change_rate_, fleet_fraction_;
 };
 
--- a/scale/capacity/failure_calculations.cpp
+++ b/scale/capacity/failure_calculations.cpp
@@ -4,6 +4,7 @@
 
 #include "scale/capacity/assumptions.h"
 #include "scale/capacity/calculations.h"
+#include "scale/capacity/units.h"
 #include "scale/capacity/value_format.h"
 
 namespace asterdrift::scale::capacity {
@@ -27,7 +28,7 @@
     results.add(prefix + "link_time",
                 format_seconds(fleet_bytes / control_machines / assumption::kControlLinkRate.value));
     results.add(prefix + "node_time", format_seconds(node_bytes / bandwidth_limit));
-    results.add(prefix + "in_time_rate",
+    results.add(prefix + "required_rate",
                 format_bytes(node_bytes / assumption::kPropagationLimit.value, "/s"));
   }
 }
@@ -36,13 +37,15 @@
   const double agents = fleet.agents_per_control_machine;
   const double remaining_machines = assumption::kControlMachines.value - 1;
   const double snapshot_bytes = agents / remaining_machines * list_bytes(assumption::kServers.value);
-  results.add("dead.agents", format_number(agents));
-  results.add("dead.each", format_number(std::ceil(agents / remaining_machines)));
-  results.add("dead.bytes_whole", format_bytes(snapshot_bytes));
-  results.add("dead.time_whole", format_seconds(snapshot_bytes / assumption::kControlLinkRate.value));
-  results.add("dead.bytes_since", format_bytes(agents / remaining_machines * fleet.change_rate *
-                                               assumption::kBusiestMinuteFactor.value *
-                                               assumption::kPropagationLimit.value * change_message_bytes()));
+  results.add("machine_loss.agents", format_number(agents));
+  results.add("machine_loss.agents_each", format_number(std::ceil(agents / remaining_machines)));
+  results.add("machine_loss.snapshot_bytes", format_bytes(snapshot_bytes));
+  results.add("machine_loss.snapshot_time",
+              format_seconds(snapshot_bytes / assumption::kControlLinkRate.value));
+  results.add(
+      "machine_loss.catch_up_bytes",
+      format_bytes(agents / remaining_machines * fleet.change_rate * assumption::kBusiestMinuteFactor.value *
+                   assumption::kPropagationLimit.value * change_message_bytes()));
 }
 
 void add_zone_loss(Results& results, const Fleet& fleet) {
@@ -53,21 +56,21 @@
     lost_services += std::pow(1 / zones, size);
     lost_requests += std::pow(1 / zones, size) * size / fleet.total_servers;
   }
-  results.add("zone.servers", format_number(std::round(assumption::kServers.value / zones)));
-  results.add("zone.calls", format_with_unit(100 / zones, "%"));
-  results.add("zone.services", format_number(lost_services));
-  results.add("zone.calls_without", format_with_unit(lost_requests * 100, "%"));
-  results.add("zone.load", format_with_unit(100 / (zones - 1), "%"));
+  results.add("zone_loss.servers", format_number(std::round(assumption::kServers.value / zones)));
+  results.add("zone_loss.requests", format_with_unit(100 / zones, "%"));
+  results.add("zone_loss.services", format_number(lost_services));
+  results.add("zone_loss.requests_without_servers", format_with_unit(lost_requests * 100, "%"));
+  results.add("zone_loss.added_load", format_with_unit(100 / (zones - 1), "%"));
 }
 
 void add_partition(Results& results, const Fleet& fleet) {
   const double nodes = assumption::kServers.value + fleet.front_nodes;
   const double partition_time = assumption::kPartitionTime.value;
-  results.add("cut.entries", format_number(std::round(fleet.change_rate * partition_time)));
-  results.add("cut.fleet_bytes",
+  results.add("partition.changes", format_number(std::round(fleet.change_rate * partition_time)));
+  results.add("partition.fleet_bytes",
               format_bytes(nodes * fleet.change_rate * partition_time * change_message_bytes()));
-  results.add("cut.fleet_whole", format_bytes(nodes * list_bytes(assumption::kServers.value)));
-  results.add("cut.far", format_with_unit(100 * (1 - 1 / assumption::kRegions.value), "%"));
+  results.add("partition.fleet_snapshot_bytes", format_bytes(nodes * list_bytes(assumption::kServers.value)));
+  results.add("partition.unreachable", format_with_unit(100 * (1 - 1 / assumption::kRegions.value), "%"));
 }
 
 }  // namespace asterdrift::scale::capacity
--- a/scale/capacity/fleet.cpp
+++ b/scale/capacity/fleet.cpp
@@ -7,6 +7,7 @@
 #include <string>
 
 #include "scale/capacity/assumptions.h"
+#include "scale/capacity/units.h"
 
 namespace asterdrift::scale::capacity {
 namespace {
--- a/scale/capacity/fleet.h
+++ b/scale/capacity/fleet.h
@@ -6,9 +6,6 @@
 
 namespace asterdrift::scale::capacity {
 
-constexpr double kSecondsPerDay = 86400;
-constexpr double kBytesPerKilobyte = 1e3;
-
 // Bytes of one entry of the endpoint list, as the protocol shows it, with names and addresses of usual
 // length.
 enum class EntryKind { kNeverRestarted, kRestarted };
--- a/scale/capacity/fleet_calculations.cpp
+++ b/scale/capacity/fleet_calculations.cpp
@@ -28,9 +28,9 @@
   for (const Assumption& assumption : assumption::kAll) {
     results.add(std::string("given.") + assumption.key, format_assumption(assumption));
   }
-  results.add("plain.called", format_number(assumption::kServicesPerNode.value));
+  results.add("plain.services_per_node", format_number(assumption::kServicesPerNode.value));
   for (const auto& [key, measurement] : measurements.all()) {
-    results.add("slope." + key, format_measurement(measurement));
+    results.add("measured." + key, format_measurement(measurement));
     results.add("code." + key, measurement.code);
     results.add("command." + key, measurement.command);
   }
@@ -48,14 +48,14 @@
   results.add("fleet.total", format_number(total));
   results.add("fleet.mean", format_number(total / assumption::kServices.value));
   results.add("fleet.single", format_number(single_server_services));
-  results.add("fleet.single_calls", format_with_unit(single_server_services / total * 100, "%"));
+  results.add("fleet.single_requests", format_with_unit(single_server_services / total * 100, "%"));
   // The size of the service of a server that is drawn at random.
   results.add("fleet.size_seen", format_number(squares / total));
   results.add("fleet.entry", format_bytes(entry_bytes()));
-  results.add("fleet.entry_old", format_bytes(entry_bytes(EntryKind::kNeverRestarted)));
-  results.add("fleet.change", format_bytes(change_message_bytes()));
-  results.add("fleet.changes", format_number(fleet.change_rate) + "/s");
-  results.add("fleet.changes_busy",
+  results.add("fleet.entry_never_restarted", format_bytes(entry_bytes(EntryKind::kNeverRestarted)));
+  results.add("fleet.change_message", format_bytes(change_message_bytes()));
+  results.add("fleet.change_rate", format_number(fleet.change_rate) + "/s");
+  results.add("fleet.change_rate_busiest",
               format_number(fleet.change_rate * assumption::kBusiestMinuteFactor.value) + "/s");
 }
 
--- a/scale/capacity/main.cpp
+++ b/scale/capacity/main.cpp
@@ -70,7 +70,7 @@
     std::cout << "  given." << assumption.key << " = " << format_with_unit(assumption.value, assumption.unit)
               << "  (" << assumption.source << ")\n";
   }
-  std::cout << "figures\n";
+  std::cout << "results\n";
   for (const std::string& key : results.keys()) {
     if (!key.starts_with("given.")) print_result(results, key);
   }
--- a/scale/stand_ins/node_setup.h
+++ b/scale/stand_ins/node_setup.h
@@ -12,7 +12,7 @@
 // How a node gets its endpoint lists.
 enum class ListDelivery {
   kPushed,     // watches by itself
-  kSubscribed  // watches once the balancer has asked for it
+  kSubscribed  // watches once the balancer requests it
 };
 
 struct NodeSetup {
--- a/scale/stand_ins/simulated_node.h
+++ b/scale/stand_ins/simulated_node.h
@@ -19,7 +19,7 @@
     std::uint64_t snapshots = 0;          // received
     std::uint64_t incremental_lists = 0;  // received
     std::uint64_t failed_watches = 0;
-    std::uint64_t watches = 0;   // that the balancer has asked for
+    std::uint64_t watches = 0;   // that the balancer has requested
     std::uint64_t attempts = 0;  // that the balancer has sent
   };
   using ListHandler = std::function<void(SimulatedNode&)>;
--- a/scale/stand_ins/stand_in_server.h
+++ b/scale/stand_ins/stand_in_server.h
@@ -1,4 +1,4 @@
-// A server behind a node: it answers each request with 200.
+// A server behind a node: it responds to each request with 200.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
