--- a/scale/stand_ins/simulated_node.h
+++ b/scale/stand_ins/simulated_node.h
@@ -19,7 +19,7 @@
     std::uint64_t snapshots = 0;          // received
     std::uint64_t incremental_lists = 0;  // received
     std::uint64_t failed_watches = 0;
-    std::uint64_t watches = 0;   // that the balancer has asked for
+    std::uint64_t watches = 0;   // that the balancer has requested
     std::uint64_t attempts = 0;  // that the balancer has sent
   };
   using ListHandler = std::function<void(SimulatedNode&)>;
@@ -56,7 +56,4 @@
   std::string attempted_endpoint_;  // of the request that is being handled
 };
 
-// The balancer's event for a list.
-balancer::EndpointUpdate to_endpoint_update(const node::config::EndpointList& list);
-
 }  // namespace asterdrift::scale
