--- a/include/asterdrift/balancer/actions.h
+++ b/include/asterdrift/balancer/actions.h
@@ -1,4 +1,4 @@
-// What a Balancer tells its host to do. Hosts carry actions out in the order in which they are given.
+// The actions that a Balancer requests of its host, which executes them in the given order.
 //
 // All durations are in seconds and all times are seconds on the host's clock.
 #pragma once
@@ -15,34 +15,34 @@
   std::string id;        // of the request
   std::string endpoint;  // address
   double timeout = 0;    // s
-  // s; not to be written later than this, when servers may have forgotten the idempotency key.
+  // s; not to be written after this time, when servers may have dropped the idempotency key.
   double write_within = std::numeric_limits<double>::infinity();
 };
 
-// Final response: rejected, and a retry is harmless.
+// Final response: rejected; the client can safely retry.
 struct RejectRequest {
   std::string id;
   double retry_after = 0;  // s; 0: no Retry-After
 };
 
-// Final response: failed; it may have run.
+// Final response: failed; the request may have been executed.
 struct FailRequest {
   std::string id;
 };
 
-// Stops waiting for one attempt.
+// Withdraws one attempt.
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
 
-// Asks for a TimerFired with this token at a time.
+// Requests a TimerFired event with this token at a time.
 struct SetTimer {
   double at = 0;
   std::uint64_t token = 0;
 };
 
-// Asks for endpoint updates from now on.
+// Requests EndpointUpdate events from now on.
 struct WatchEndpoints {};
 
 // A line for the host's log.
@@ -50,6 +50,7 @@
   std::string text;
 };
 
+// Any action.
 using Action =
     std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt, SetTimer, WatchEndpoints, LogLine>;
 
--- a/include/asterdrift/balancer/events.h
+++ b/include/asterdrift/balancer/events.h
@@ -1,4 +1,4 @@
-// What a host tells a Balancer. Hosts report events in the order in which they happen.
+// The events that a Balancer handles. Hosts report them in the order in which they happen.
 //
 // All durations are in seconds and all times are seconds on the host's clock.
 #pragma once
@@ -12,7 +12,7 @@
 
 namespace asterdrift::balancer {
 
-// The replica starts: the first event, so that it can ask for what it needs.
+// The replica starts. The first event; the actions request what the replica needs.
 struct Started {};
 
 // A downstream request needs an endpoint. `id` is unique among requests that have not ended.
@@ -23,37 +23,37 @@
   double time_left = 0;                  // s until the client gives up
   std::optional<double> announced_work;  // s on a standard core
   bool is_client_retry = false;          // the client marked it as a retry of its own
-  bool body_arriving = false;  // its body is incomplete; RequestBodySent tells when a server has all of it
+  bool body_arriving = false;            // its body is incomplete; RequestBodySent follows
 };
 
 // How an attempt ended.
 enum class Outcome {
-  kSuccess,          // answered; the response is the client's
-  kServerError,      // the server answered with an error
+  kSuccess,          // the response belongs to the client
+  kServerError,      // the response is an error of the server
   kRejected,         // the server is full or draining and has not begun it
   kTimedOut,         // no response in time
   kConnectFailed,    // no connection was established
-  kConnectionReset,  // the connection broke while the attempt was out
+  kConnectionReset,  // the connection broke during the attempt
   kCancelled,        // withdrawn by CancelAttempt
-  kNotSent,          // never left this replica
+  kNotSent,          // nothing was sent
   kUnknown           // anything else: it may have run
 };
 
-// A streamed response has begun; its client owns it from here.
+// A streamed response has begun, and is being forwarded to the client.
 struct ResponseStarted {
   std::string id;
   int attempt = 0;
-  double elapsed = 0;  // s since it was sent
+  double elapsed = 0;  // s since the attempt was sent
 };
 
-// The last byte of a request whose body was arriving has gone out on an attempt: its server can begin, and
-// the client's time counts from here.
+// The last byte of a request whose body was arriving has been sent on an attempt: its server can begin, and
+// the request's time starts here.
 struct RequestBodySent {
   std::string id;
   int attempt = 0;
 };
 
-// A part of the request's body has gone out and is not buffered: it cannot be sent again.
+// A part of the request's body has been sent and is not buffered: it cannot be sent again.
 struct RequestBodyConsumed {
   std::string id;
 };
@@ -67,11 +67,12 @@
   bool request_done = false;  // the request needs no further response
 };
 
-// The client left, or its time is up; no response is owed any more.
+// The client has disconnected, or its time-out has expired: no response is needed any more.
 struct RequestAborted {
   std::string id;
 };
 
+// Whether an endpoint accepts new requests.
 enum class EndpointState { kReady, kDraining, kRemoved };
 
 // One server process, as discovery lists it.
@@ -88,7 +89,7 @@
 struct EndpointUpdate {
   enum class Form {
     kIncremental,  // only what changed
-    kSnapshot,     // the complete list: what it lacks has been removed
+    kSnapshot,     // the complete list: endpoints that it does not contain have been removed
     kWatchFailed   // polling failed or the watch broke; the known endpoints stay
   };
   Form form = Form::kSnapshot;
@@ -100,6 +101,7 @@
   std::uint64_t token = 0;
 };
 
+// Any event.
 using Event = std::variant<Started, Request, ResponseStarted, RequestBodySent, RequestBodyConsumed,
                            AttemptResult, RequestAborted, EndpointUpdate, TimerFired>;
 
--- a/json/fields.cpp
+++ b/json/fields.cpp
@@ -4,14 +4,10 @@
 
 namespace asterdrift::json {
 
-// Iterative, since the nesting of untrusted text must not become the depth of this stack.
+// Parses iteratively, since the nesting of untrusted text must not determine the depth of the call stack.
 void parse(std::string_view text, rapidjson::Document& document) {
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
-  if (document.HasParseError()) {
-    throw FormatError(std::string("not valid JSON: ") +
-                      rapidjson::GetParseError_En(document.GetParseError()) + " at byte " +
-                      std::to_string(document.GetErrorOffset()));
-  }
+  require_valid(document);
 }
 
 rapidjson::Document parse(std::string_view text) {
@@ -20,14 +16,20 @@
   return document;
 }
 
+void require_valid(const rapidjson::Document& document) {
+  if (!document.HasParseError()) return;
+  throw FormatError(std::string("not valid JSON: ") + rapidjson::GetParseError_En(document.GetParseError()) +
+                    " at byte " + std::to_string(document.GetErrorOffset()));
+}
+
 void throw_unexpected(const char* field, const char* expected) {
   throw FormatError(std::string("field '") + field + "' is not " + expected);
 }
 
 const Json* find(const Json& object, const char* field) {
   if (!object.IsObject()) throw FormatError(std::string("not an object where field '") + field + "' belongs");
-  const auto it = object.FindMember(field);
-  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
+  const auto member = object.FindMember(field);
+  return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
 
 const Json& require(const Json& object, const char* field) {
@@ -48,8 +50,8 @@
 
 int integer(const Json& object, const char* field) {
   const Json& value = require(object, field);
-  if (value.IsInt()) return value.GetInt();
-  throw_unexpected(field, "a whole number in range");
+  if (!value.IsInt()) throw_unexpected(field, "a whole number in range");
+  return value.GetInt();
 }
 
 int integer_or(const Json& object, const char* field, int fallback) {
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -2,75 +2,104 @@
 
 #include <stdexcept>
 #include <string>
+#include <vector>
 
 namespace asterdrift::json {
 namespace {
 
-balancer::RequestClass read_class(const Json& in) {
-  using balancer::DedupScope;
-  using balancer::Idempotency;
-  balancer::RequestClass out;
-  out.latency_objective = number(in, "aim");
-  out.latency_objective_per_work = number_or(in, "aimStretch", 0);
-  out.timeout = number(in, "giveUp");
-  out.late_priority_weight = number_or(in, "lateWorth", 0);
-  const std::string_view effect = string(in, "effect");
-  if (effect == "safe") {
-    out.idempotency = Idempotency::kIdempotent;
-  } else if (effect == "keyed") {
-    out.idempotency = Idempotency::kIdempotencyKey;
-    const std::string_view group = string(in, "group");
-    if (group == "all") {
-      out.dedup_scope = DedupScope::kAll;
-    } else if (group == "zone") {
-      out.dedup_scope = DedupScope::kZone;
-    } else if (group == "cell") {
-      out.dedup_scope = DedupScope::kCell;
-    } else {
-      throw std::invalid_argument("categories[].group: '" + std::string(group) + "' is unknown");
-    }
-    out.dedup_window = number_or(in, "dedupWindow", 0);
-  } else if (effect == "unsafe") {
-    out.idempotency = Idempotency::kNotIdempotent;
-  } else {
-    throw std::invalid_argument("categories[].effect: '" + std::string(effect) + "' is unknown");
+[[noreturn]] void throw_unknown(const std::string& field, std::string_view name) {
+  throw std::invalid_argument(field + ": '" + std::string(name) + "' is unknown");
+}
+
+balancer::Idempotency read_idempotency(const Json& category) {
+  const std::string_view name = string(category, "effect");
+  if (name == "safe") return balancer::Idempotency::kIdempotent;
+  if (name == "keyed") return balancer::Idempotency::kIdempotencyKey;
+  if (name == "unsafe") return balancer::Idempotency::kNotIdempotent;
+  throw_unknown("categories[].effect", name);
+}
+
+balancer::DedupScope read_dedup_scope(const Json& category) {
+  const std::string_view name = string(category, "group");
+  if (name == "all") return balancer::DedupScope::kAll;
+  if (name == "zone") return balancer::DedupScope::kZone;
+  if (name == "cell") return balancer::DedupScope::kCell;
+  throw_unknown("categories[].group", name);
+}
+
+balancer::RequestClass read_class(const Json& category) {
+  balancer::RequestClass request_class;
+  request_class.latency_objective = number(category, "aim");
+  request_class.latency_objective_per_work = number_or(category, "aimStretch", 0);
+  request_class.timeout = number(category, "giveUp");
+  request_class.late_priority_weight = number_or(category, "lateWorth", 0);
+  request_class.idempotency = read_idempotency(category);
+  if (request_class.idempotency == balancer::Idempotency::kIdempotencyKey) {
+    request_class.dedup_scope = read_dedup_scope(category);
+    request_class.dedup_window = number_or(category, "dedupWindow", 0);
   }
-  return out;
+  return request_class;
+}
+
+std::vector<balancer::RequestClass> read_classes(const Json& object) {
+  std::vector<balancer::RequestClass> classes;
+  for (const Json& category : array(object, "categories").GetArray()) classes.push_back(read_class(category));
+  return classes;
+}
+
+balancer::Tenant read_tenant(const Json& realm) {
+  balancer::Tenant tenant;
+  if (find(realm, "allowancePerS") != nullptr) tenant.quota = number(realm, "allowancePerS");
+  return tenant;
+}
+
+std::vector<balancer::Tenant> read_tenants(const Json& object) {
+  std::vector<balancer::Tenant> tenants;
+  if (find(object, "realms") == nullptr) return tenants;
+  for (const Json& realm : array(object, "realms").GetArray()) tenants.push_back(read_tenant(realm));
+  return tenants;
+}
+
+void read_replica(const Json& object, balancer::Settings& settings) {
+  settings.replica_index = integer(object, "position");
+  settings.replica_count = integer(object, "peersTotal");
+  settings.tier = integer_or(object, "stage", 0);
+  settings.zone = integer_or(object, "zone", 0);
+  settings.clock_granularity = number_or(object, "granularity", 0);
+}
+
+void read_bounds(const Json& bounds, balancer::Settings& settings) {
+  settings.max_attempts = integer_or(bounds, "maxAttempts", 1);
+  settings.hedging_allowed = flag(bounds, "secondCopies");
+  settings.cancel_allowed = flag(bounds, "cancel");
+  settings.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
+}
+
+bool read_requires_watch(const Json& object) {
+  return find(object, "registryMode") != nullptr && string(object, "registryMode") == "subscribe";
+}
+
+void read_rules(const Json& rules, balancer::Settings& settings) {
+  settings.poll_within = number_or(rules, "askWithin", 0);
+  settings.slow_start_capacity = number_or(rules, "startCapacity", 1);
+  settings.slow_start_duration = number_or(rules, "rampTime", 0);
+  settings.overload_multiple = number_or(rules, "tipMultiple", settings.overload_multiple);
+  settings.overload_window = number_or(rules, "tipAfter", settings.overload_window);
 }
 
 }  // namespace
 
-balancer::Settings read_settings(const Json& in) {
-  balancer::Settings out;
-  out.replica_index = integer(in, "position");
-  out.replica_count = integer(in, "peersTotal");
-  out.tier = integer_or(in, "stage", 0);
-  out.zone = integer_or(in, "zone", 0);
-  out.clock_granularity = number_or(in, "granularity", 0);
-  for (const Json& item : array(in, "categories").GetArray()) out.classes.push_back(read_class(item));
-  if (find(in, "realms") != nullptr) {
-    for (const Json& item : array(in, "realms").GetArray()) {
-      balancer::Tenant tenant;
-      if (find(item, "allowancePerS") != nullptr) tenant.quota = number(item, "allowancePerS");
-      out.tenants.push_back(tenant);
-    }
-  }
-  out.over_quota_priority_weight = number_or(in, "overShareWorth", 1);
-  const Json& bounds = require(in, "bounds");
-  out.max_attempts = integer_or(bounds, "maxAttempts", 1);
-  out.hedging_allowed = flag(bounds, "secondCopies");
-  out.cancel_allowed = flag(bounds, "cancel");
-  out.max_retry_after = flag(bounds, "retryAfter") ? number_or(bounds, "maxRetryAfter", 0) : 0;
-  out.requires_watch = find(in, "registryMode") != nullptr && string(in, "registryMode") == "subscribe";
-  if (const Json* rules = find(in, "rules")) {
-    out.poll_within = number_or(*rules, "askWithin", 0);
-    out.slow_start_capacity = number_or(*rules, "startCapacity", 1);
-    out.slow_start_duration = number_or(*rules, "rampTime", 0);
-    out.overload_multiple = number_or(*rules, "tipMultiple", out.overload_multiple);
-    out.overload_window = number_or(*rules, "tipAfter", out.overload_window);
-  }
-  if (const Json* fees = find(in, "fees")) out.cross_zone_cost = number_or(*fees, "crossZone", 0);
-  return out;
+balancer::Settings read_settings(const Json& object) {
+  balancer::Settings settings;
+  read_replica(object, settings);
+  settings.classes = read_classes(object);
+  settings.tenants = read_tenants(object);
+  settings.over_quota_priority_weight = number_or(object, "overShareWorth", 1);
+  read_bounds(require(object, "bounds"), settings);
+  settings.requires_watch = read_requires_watch(object);
+  if (const Json* rules = find(object, "rules")) read_rules(*rules, settings);
+  if (const Json* fees = find(object, "fees")) settings.cross_zone_cost = number_or(*fees, "crossZone", 0);
+  return settings;
 }
 
 }  // namespace asterdrift::json
--- a/json/settings_reader.h
+++ b/json/settings_reader.h
@@ -1,4 +1,5 @@
-// The balancer's settings in the operators' JSON form, as the simulator adapter and the node are given them.
+// Reads the balancer's settings from the operators' JSON form. The only place that knows the names of its
+// fields.
 #pragma once
 
 #include "asterdrift/balancer/settings.h"
@@ -6,7 +7,9 @@
 
 namespace asterdrift::json {
 
-// Throws FormatError, or std::invalid_argument for a name that is unknown.
-balancer::Settings read_settings(const Json& in);
+// Throws FormatError for a field that is missing or has another type, and std::invalid_argument for an
+// unknown name of an idempotency or deduplication scope. Does not check the range of numbers: the balancer
+// does.
+balancer::Settings read_settings(const Json& object);
 
 }  // namespace asterdrift::json
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,4 @@
-// The shortest use of the installed library: one server, one request, one answer.
+// Minimal use of the installed library: one endpoint, one request, one attempt.
 #include <iostream>
 #include <variant>
 #include <vector>
@@ -16,16 +16,16 @@
 
   asterdrift::balancer::Balancer balancer(settings, 42);
   std::vector<asterdrift::balancer::Action> actions;
-  asterdrift::balancer::EndpointUpdate members;
-  members.endpoints.push_back({.address = "10.0.0.1:80"});
-  balancer.handle(0.0, members, actions);
+  asterdrift::balancer::EndpointUpdate update;
+  update.endpoints.push_back({.address = "10.0.0.1:80"});
+  balancer.handle(0.0, update, actions);
   balancer.handle(0.1, asterdrift::balancer::Request{.id = "r1", .time_left = 2}, actions);
   for (const asterdrift::balancer::Action& action : actions) {
-    if (const auto* send = std::get_if<asterdrift::balancer::SendAttempt>(&action)) {
-      std::cout << send->id << " -> " << send->endpoint << ", time-out " << send->timeout << " s\n";
+    if (const auto* attempt = std::get_if<asterdrift::balancer::SendAttempt>(&action)) {
+      std::cout << attempt->id << " -> " << attempt->endpoint << ", time-out " << attempt->timeout << " s\n";
       return 0;
     }
   }
-  std::cerr << "no send\n";
+  std::cerr << "no attempt\n";
   return 1;
 }
