--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -8,8 +8,7 @@
 using support::OrderedIndex;
 
 constexpr std::size_t kRebuildDivisor = 16;  // a larger part of the endpoints changed: indexes are rebuilt
-constexpr int kTrackedChecks =
-    2;  // for each endpoint added to the tracked ones, so that they get fewer again
+constexpr int kTrackedChecks = 2;            // for each change of one endpoint; untracks more than are added
 
 // The record of another process at the same address, without the statistics of the previous one. The tokens
 // are random, since all replicas are notified at the same time and must not send at the same time.
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -5,10 +5,9 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kTimeoutDeviations = 6;  // over the mean latency
-constexpr double kTokensPerResponse =
-    0.2;                          // earned by responses alone: tiers would multiply retries otherwise
-constexpr double kMaxTokens = 5;  // retries
+constexpr double kTimeoutDeviations = 6;      // over the mean latency
+constexpr double kTokensPerResponse = 0.2;    // attempts earn none: tiers would multiply retries
+constexpr double kMaxTokens = 5;              // retries
 constexpr double kMaxInitialObjectiveS = 60;  // bounds the estimate of a class without an objective
 
 }  // namespace
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -9,9 +9,8 @@
 
 namespace asterdrift::balancer {
 
-constexpr std::size_t kLeastSubset = 8;  // endpoints: a compromise of even load and few connections
-constexpr std::size_t kLeastReplicas =
-    2;  // that use each endpoint: where replicas are few, subsets are large
+constexpr std::size_t kLeastSubset = 8;    // endpoints: a compromise of even load and few connections
+constexpr std::size_t kLeastReplicas = 2;  // that use each endpoint; few replicas have large subsets
 constexpr std::size_t kLeastZoneSize = 3;  // endpoints: a choice, even when one of them fails
 
 // Distributes the endpoints evenly over the replicas, by consecutive ranges of the endpoints' order.
