--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -19,8 +19,8 @@
 void ConcurrencyLimit::on_endpoint_list() { started_at_ = std::min(started_at_, state_.now); }
 
 // Capacity that is not measured is divided between the replicas by random offsets. Where this replica's share
-// of an endpoint is low, a fixed offset would exclude most replicas from it for good: each request draws
-// anew.
+// of an endpoint is low, a fixed offset would exclude most replicas from it permanently, so each request
+// draws a new one.
 bool ConcurrencyLimit::is_below_limit(const EndpointRecord& record) {
   const TrafficStatistics& traffic = state_.traffic;
   if (traffic.is_low(state_.now)) return true;
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -22,6 +22,7 @@
   bool tier_has_capacity() const;
 
  private:
+  // Only tier 0 is.
   bool is_limited() const { return state_.settings.tier == 0; }
   bool is_below_limit(const EndpointRecord& record);
   double unmeasured_capacity(double since) const;
--- a/src/balancer/endpoint_set.h
+++ b/src/balancer/endpoint_set.h
@@ -25,14 +25,14 @@
   EndpointRecord& operator[](std::size_t slot) { return records_[slot]; }
   const EndpointRecord& operator[](std::size_t slot) const { return records_[slot]; }
 
-  // The endpoints that are ready, ordered by hash; all of them, those of other zones than this replica's,
-  // those of one zone, and those of one cell.
+  // The endpoints that are ready, ordered by hash. All ranges have the same order.
   const support::OrderedIndex& ready() const { return ready_; }
   support::CircularRange all() const { return ready_.range(); }
+  // Those of other zones than this replica's.
   support::CircularRange other_zones() const { return other_zones_.range(); }
   support::CircularRange in_zone(int zone) const { return by_zone_.range_of(key_of(zone)); }
   support::CircularRange in_cell(int cell) const { return by_cell_.range_of(key_of(cell)); }
-  // Their weights, added up.
+  // The sum of the weights of the endpoints that are ready.
   double ready_weight() const { return ready_weight_; }
 
   // Applies an update. responses: the number of responses that this replica has received so far.
@@ -45,7 +45,8 @@
   // Requests in flight of the endpoint, or its latency, have changed: it may have become an outlier.
   void track(std::size_t slot, double now);
 
-  // Outliers are ejected only while others are healthy: where none is healthy, none is ejected.
+  // The metrics of the endpoints. Outliers are ejected only while others are healthy: where none is healthy,
+  // none is ejected.
   template <class Predicate>
   EndpointSetView view(const Predicate& is_outlier) const {
     std::size_t outliers = 0;  // all of them are tracked
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -87,7 +87,7 @@
   double assured = 0;
   double healthy = 0;
   bool any_warm = false;
-  for (const std::uint32_t slot : state_.subset.sample_of_few()) {
+  for (const std::uint32_t slot : state_.subset.fixed_sample()) {
     const EndpointRecord& record = state_.endpoints[slot];
     const double weight = record.advertised.weight;
     const double warm = warm_fraction(record);
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -37,14 +37,14 @@
     size_ += range.size;
   }
   sharing_replicas_ = std::max(1.0, static_cast<double>(replica_count * size_) / static_cast<double>(ready));
-  few_.clear();
-  for (const support::CircularRange& range : ranges_) range.collect(0, sample_size(range), few_);
+  fixed_sample_.clear();
+  for (const support::CircularRange& range : ranges_) range.collect(0, sample_size(range), fixed_sample_);
 }
 
 void Subset::sample(support::Random& random, std::vector<std::uint32_t>& slots) const {
   slots.clear();
   if (size_ <= kMostExamined) {
-    slots = few_;
+    slots = fixed_sample_;
     return;
   }
   for (const support::CircularRange& range : ranges_) {
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -26,18 +26,18 @@
   // Selects the subset again, after `endpoints` has changed.
   void update(const Settings& settings, const EndpointSet& endpoints);
 
-  // The slots of a small subset, or of the first part of a large one, as many as are examined for a request.
-  const std::vector<std::uint32_t>& sample_of_few() const { return few_; }
-  // The same, but a random part of a large subset, in proportion from its own zone and from others.
+  // The slots of a small subset, or of the first endpoints of a large one: as many as a request examines.
+  const std::vector<std::uint32_t>& fixed_sample() const { return fixed_sample_; }
+  // The same, but from random positions of a large subset, in proportion from its own zone and from others.
   void sample(support::Random& random, std::vector<std::uint32_t>& slots) const;
-  // The slots of a short range, or of the next part of a long one: size / kMostExamined calls cover it.
+  // The slots of a short range, or the next ones of a long range: size / kMostExamined samples cover it.
   void sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots);
 
  private:
   std::size_t sample_size(const support::CircularRange& range) const;
 
   std::vector<support::CircularRange> ranges_;  // of its own zone and of others, or of all endpoints
-  std::vector<std::uint32_t> few_;              // slots
+  std::vector<std::uint32_t> fixed_sample_;     // slots
   std::size_t size_ = 0;
   std::size_t next_ = 0;  // where sample_next() continues
   double sharing_replicas_ = 1;
