--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -7,24 +7,25 @@
 #include <string_view>
 #include <utility>
 
-#include "node/base/clock.h"
-#include "node/base/http_response.h"
+#include "node/http/response.h"
+#include "node/net/address.h"
 #include "node/telemetry/log.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::admin {
 namespace {
 
 namespace asio = boost::asio;
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using asio::ip::tcp;
-using base::now;
 using boost::system::error_code;
+using timing::now;
 
-constexpr std::size_t kMostHeadBytes = 8UL * 1024;
-constexpr std::size_t kMostDiscardedBytes = 64UL * 1024;  // after the response
-constexpr std::size_t kReadSize = 4096;                   // bytes
-constexpr double kCallTimeout = 2.2;  // s for a call, and as long again to take its response
-constexpr double kCloseTimeout = 1;   // s for a peer to close after its response
+constexpr std::size_t kMaxHeadBytes = 8UL * 1024;
+constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;  // after the response
+constexpr std::size_t kReadSize = 4096;                  // bytes
+constexpr double kRequestTimeout = 2.2;  // s for a call, and as long again to take its response
+constexpr double kCloseTimeout = 1;      // s for a peer to close after its response
 
 }  // namespace
 
@@ -40,13 +41,13 @@
 }
 
 bool AdminConnection::is_overdue() const {
-  return now() - state_since_ > (is_closing() ? kCloseTimeout : kCallTimeout);
+  return now() - state_since_ > (is_closing() ? kCloseTimeout : kRequestTimeout);
 }
 
 void AdminConnection::close_overdue() {
   error_code ignored;
   if (state_ == State::kReading && has_bytes_)
-    socket_.write_some(asio::buffer(base::kTimeoutResponse), ignored);
+    socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
   close();
 }
 
@@ -71,7 +72,7 @@
   try {
     read_available();
   } catch (const std::exception& error) {
-    telemetry::log_line(std::string("admin connection failed: ") + error.what());
+    telemetry::log_line("admin connection failed: client " + net::peer_text(socket_) + ": " + error.what());
     close();
   }
 }
@@ -84,7 +85,7 @@
   if (error) return close();
   if (is_closing()) {
     discarded_bytes_ += size;
-    return discarded_bytes_ > kMostDiscardedBytes ? close() : wait_readable();
+    return discarded_bytes_ > kMaxDiscardedBytes ? close() : wait_readable();
   }
   has_bytes_ = true;
   input_.append(bytes.data(), size);
@@ -97,10 +98,10 @@
   input_.erase(0, used);
   head_bytes_ += used;
   // Beast's own limit does not count complete lines.
-  const bool is_too_long = head_bytes_ + input_.size() > kMostHeadBytes;
-  if (is_too_long || error == http::error::header_limit) return respond(431);
+  const bool is_too_long = head_bytes_ + input_.size() > kMaxHeadBytes;
+  if (is_too_long || error == beast_http::error::header_limit) return respond(431);
   if (parser_.is_header_done()) return handle_request();
-  if (error && error != http::error::need_more) return respond(400);
+  if (error && error != beast_http::error::need_more) return respond(400);
   wait_readable();
 }
 
@@ -109,7 +110,7 @@
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
   if (path != "/ready" && path != "/metrics") return respond(404);
-  if (head.method() != http::verb::get) return respond(405, {}, "Allow: GET\r\n");
+  if (head.method() != beast_http::verb::get) return respond(405, {}, "Allow: GET\r\n");
   if (path == "/ready") return respond(callbacks_.is_ready() ? 200 : 503);
   respond(200, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
 }
@@ -117,7 +118,7 @@
 void AdminConnection::respond(unsigned status, const std::string& body, const std::string& headers) {
   state_ = State::kResponding;
   state_since_ = now();
-  output_ = base::status_line(status).append(headers);
+  output_ = http::status_line(status).append(headers);
   output_ += "Content-Length: " + std::to_string(body.size()) + "\r\nConnection: close\r\n\r\n" + body;
   asio::async_write(socket_, asio::buffer(output_),
                     [self = shared_from_this()](const error_code& error, std::size_t) {
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -3,16 +3,17 @@
 #include <exception>
 #include <utility>
 
-#include "node/base/clock.h"
-#include "node/base/http_status.h"
 #include "node/discovery/poll_timeouts.h"
+#include "node/http/status.h"
+#include "node/net/address.h"
+#include "node/timing/clock.h"
 
 namespace asterdrift::node::discovery {
 namespace {
 
-namespace http = boost::beast::http;
-using base::kOk;
+namespace beast_http = boost::beast::http;
 using boost::system::error_code;
+using http::kOk;
 using Kind = WatchError::Kind;
 
 // Bytes of a long list which show that the watch is alive.
@@ -25,23 +26,22 @@
     : options_(options),
       callbacks_(std::move(callbacks)),
       stream_(io),
-      reader_(options.zones, options.most_endpoints) {
+      reader_(options.zones, options.max_endpoints) {
   parser_.body_limit(boost::none);
   parser_.eager(true);
 }
 
 void EndpointWatch::start() {
   const std::string since = options_.since ? "&index=" + std::to_string(*options_.since) : std::string();
-  request_.method(http::verb::get);
+  request_.method(beast_http::verb::get);
   request_.target("/v1/servers?stream=1" + since);
   request_.version(kHttp11);
-  request_.set(http::field::host,
-               options_.address.address().to_string() + ":" + std::to_string(options_.address.port()));
-  began_ = base::now();
+  request_.set(beast_http::field::host, net::to_text(options_.address));
+  began_ = timing::now();
   set_deadline(poll_timeouts::connected_by(options_.is_pushed, began_));
   stream_.async_connect(options_.address, [self = shared_from_this()](const error_code& error) {
     if (error) return self->fail(Kind::kConnect, "connect: " + error.message());
-    self->set_deadline(poll_timeouts::answered_by(self->options_.is_pushed, self->began_, base::now()));
+    self->set_deadline(poll_timeouts::answered_by(self->options_.is_pushed, self->began_, timing::now()));
     self->write_request();
   });
 }
@@ -52,10 +52,11 @@
 }
 
 void EndpointWatch::write_request() {
-  http::async_write(stream_, request_, [self = shared_from_this()](const error_code& error, std::size_t) {
-    if (error) return self->fail(Kind::kWrite, "write: " + error.message());
-    self->read_head();
-  });
+  beast_http::async_write(stream_, request_,
+                          [self = shared_from_this()](const error_code& error, std::size_t) {
+                            if (error) return self->fail(Kind::kWrite, "write: " + error.message());
+                            self->read_head();
+                          });
 }
 
 void EndpointWatch::read_head() {
@@ -63,29 +64,29 @@
     if (error) return self->fail(Kind::kResponse, "response: " + error.message());
     const unsigned status = self->parser_.get().result_int();
     if (status != kOk) return self->fail(Kind::kResponse, "response: status " + std::to_string(status));
-    self->set_deadline(poll_timeouts::first_line_by(self->began_, base::now()));
+    self->set_deadline(poll_timeouts::first_line_by(self->began_, timing::now()));
     self->handle_body();
   };
-  http::async_read_header(stream_, buffer_, parser_, on_head);
+  beast_http::async_read_header(stream_, buffer_, parser_, on_head);
 }
 
 void EndpointWatch::read_body() {
   const auto on_bytes = [self = shared_from_this()](const error_code& error, std::size_t) {
-    if (error) return self->fail(Kind::kStream, "watch: " + error.message());
+    if (error) return self->fail(Kind::kStream, "stream: " + error.message());
     self->handle_body();
   };
-  http::async_read_some(stream_, buffer_, parser_, on_bytes);
+  beast_http::async_read_some(stream_, buffer_, parser_, on_bytes);
 }
 
 void EndpointWatch::set_deadline(double time) {
-  stream_.expires_after(base::duration_of(time - base::now()));
+  stream_.expires_after(timing::duration_of(time - timing::now()));
 }
 
 // Without its empty lines for so long a watch that is connected counts as broken. Bytes that make no line and
 // no list do not show that it is alive, unless they are many: a long list takes its time.
 void EndpointWatch::on_alive() {
   unused_bytes_at_alive_ = unused_bytes_;
-  set_deadline(base::now() + poll_timeouts::kSilence);
+  set_deadline(timing::now() + poll_timeouts::kSilence);
 }
 
 // A list that is truncated is dropped with its connection; only complete ones count.
@@ -96,11 +97,11 @@
   try {
     handle_lines(bytes);
   } catch (const std::exception& error) {
-    return fail(Kind::kInvalidList, std::string("watch: ") + error.what());
+    return fail(Kind::kInvalidList, error.what());
   }
   if (closed_) return;
   if (unused_bytes_ >= unused_bytes_at_alive_ + kProgressBytes) on_alive();
-  if (parser_.is_done()) return fail(Kind::kStream, "watch: ended");
+  if (parser_.is_done()) return fail(Kind::kStream, "stream: ended");
   read_body();
 }
 
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <string_view>
 
-#include "node/base/http_body.h"
 #include "node/downstream/request_error.h"
+#include "node/http/body.h"
 
 namespace asterdrift::node::downstream {
 
@@ -24,7 +24,7 @@
     kBody        // a part of the body
   };
 
-  static constexpr std::size_t kMostHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
+  static constexpr std::size_t kMaxHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
 
   RequestParser();
 
@@ -34,14 +34,14 @@
   bool is_done() const { return parser_.is_done(); }
   const Head& head() const { return parser_.get().base(); }
   boost::beast::http::verb method() const { return parser_.get().method(); }
-  bool keeps_connection() const { return parser_.get().keep_alive(); }
+  bool is_keep_alive() const { return parser_.get().keep_alive(); }
   bool client_reads_chunks() const;  // HTTP/1.1
   std::optional<std::uint64_t> content_length() const;
   // The part of the body that has been parsed; the caller may take it away.
   std::string& body() { return parser_.get().body(); }
 
  private:
-  boost::beast::http::request_parser<base::IncrementalBody> parser_;
+  boost::beast::http::request_parser<http::IncrementalBody> parser_;
   std::size_t head_bytes_ = 0;
 };
 
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <utility>
 
-#include "node/base/body_stream.h"
-#include "node/base/memory_budget.h"
 #include "node/dispatch/messages.h"
 #include "node/downstream/receive_pace.h"
 #include "node/downstream/request_error.h"
 #include "node/downstream/request_parser.h"
 #include "node/downstream/server_state.h"
+#include "node/memory/body_stream.h"
+#include "node/memory/memory_budget.h"
 
 namespace asterdrift::node::downstream {
 
@@ -62,7 +62,7 @@
   void finish_upload();
 
   // Of the last request whose head was complete.
-  bool keeps_connection() const { return keeps_connection_; }
+  bool is_keep_alive() const { return is_keep_alive_; }
   bool client_reads_chunks() const { return client_reads_chunks_; }
   // Index of the class of a valid request to /api, until it is cleared.
   const std::optional<std::size_t>& request_class() const { return request_class_; }
@@ -72,7 +72,7 @@
   double began_at() const { return pace_.began_at(); }
   void resume(double now) { pace_.resume(now); }
   bool is_paused() const { return pace_.is_paused(); }
-  bool is_behind(double now) const;
+  bool is_too_slow(double now) const;
 
  private:
   void handle_head();
@@ -84,10 +84,10 @@
   Callbacks callbacks_;
   std::optional<RequestParser> parser_;
   std::optional<dispatch::DownstreamRequest> request_;  // until it is dispatched
-  base::MemoryReservation body_reservation_;
-  std::shared_ptr<base::BodyStream> upload_;  // the rest of the body
+  memory::MemoryReservation body_reservation_;
+  std::shared_ptr<memory::BodyStream> upload_;  // the rest of the body
   ReceivePace pace_;
-  bool keeps_connection_ = false, client_reads_chunks_ = false;
+  bool is_keep_alive_ = false, client_reads_chunks_ = false;
   std::optional<std::size_t> request_class_;
 };
 
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -15,7 +15,7 @@
   // Binds the address; one that is shared may be bound by other processes of this node too. Throws
   // boost::system::system_error where it is not available.
   Server(boost::asio::io_context& io, const config::NodeConfig& config,
-         dispatch::RequestDispatcher& dispatcher, base::MemoryBudget& body_budget,
+         dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
          telemetry::Metrics& metrics, std::size_t max_connections, bool is_shared_address);
 
   // Accepts connections from now on. Throws as above.
@@ -50,8 +50,9 @@
   void accept();
   bool accept_one();
   void accept_later();
+  void log_connection_limit() const;
   void adopt(boost::asio::ip::tcp::socket socket);
-  bool make_room();
+  bool evict_one();
   void on_connection_closed();
   void close_overdue();
 
--- a/node/base/body_stream.h
+++ b/node/memory/body_stream.h
@@ -8,15 +8,15 @@
 #include <string>
 #include <string_view>
 
-#include "node/base/memory_budget.h"
+#include "node/memory/memory_budget.h"
 
-namespace asterdrift::node::base {
+namespace asterdrift::node::memory {
 
 // Bodies up to this size are buffered, so that they can be sent again or wait for a retry's response; larger
 // ones are streamed.
-constexpr std::size_t kMostBufferedBody = 64UL * 1024;  // bytes
+constexpr std::size_t kMaxBufferedBodyBytes = 64UL * 1024;  // bytes
 // Larger bodies are rejected.
-constexpr std::size_t kLargestBody = 40UL * 1024 * 1024;  // bytes
+constexpr std::size_t kMaxBodyBytes = 40UL * 1024 * 1024;  // bytes
 
 // A bounded buffer between a writer and a reader. Each is notified later, never from within its own call,
 // that the other has moved.
@@ -60,4 +60,4 @@
   bool writable_pending_ = false, readable_pending_ = false;
 };
 
-}  // namespace asterdrift::node::base
+}  // namespace asterdrift::node::memory
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -20,7 +20,7 @@
 class ConnectionPool : private ConnectionOwner {
  public:
   ConnectionPool(boost::asio::io_context& io, const config::NodeConfig& config,
-                 base::MemoryBudget& body_budget, telemetry::Metrics& metrics, std::size_t max_connections);
+                 memory::MemoryBudget& body_budget, telemetry::Metrics& metrics, std::size_t max_connections);
 
   // Starts an attempt. Its end may come before this returns. The timeout counts from when the request is
   // sent. A request that is not written completely after `write_within` ends as not sent. Both in seconds.
@@ -64,7 +64,7 @@
 
   PooledEndpoint* find(const std::string& name);
   std::shared_ptr<Connection> take_idle(PooledEndpoint& endpoint);
-  bool make_room();
+  bool ensure_capacity();
   void remove_idle(const std::shared_ptr<Connection>& connection);
   void close_oldest_idle();
   void close_idle(PooledEndpoint& endpoint);
@@ -72,7 +72,7 @@
   void apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& stopped);
   void remove(Endpoints::iterator endpoint, std::vector<AttemptHandle>& stopped);
 
-  const double most_idle_time_;  // s
+  const double max_idle_time_;  // s
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
   double avoid_idle_until_ = 0;  // reused connections have broken under their next request lately
--- a/node/upstream/response_parser.h
+++ b/node/upstream/response_parser.h
@@ -10,7 +10,7 @@
 #include <string_view>
 
 #include "asterdrift/balancer/events.h"
-#include "node/base/http_body.h"
+#include "node/http/body.h"
 
 namespace asterdrift::node::upstream {
 
@@ -38,16 +38,16 @@
   std::string& body() { return parser_->get().body(); }
   bool is_done() const { return parser_->is_done(); }
   // After a complete response: whether the connection may carry another request.
-  bool keeps_connection() const { return parser_->get().keep_alive() && unparsed_.empty(); }
+  bool is_keep_alive() const { return parser_->get().keep_alive() && unparsed_.empty(); }
 
  private:
   void begin_message();
   bool is_interim() const;
-  bool has_sound_head() const;
+  bool has_unambiguous_length() const;
   Result parse_unparsed(const std::function<void()>& on_body);
 
   std::string unparsed_;
-  std::optional<boost::beast::http::response_parser<base::IncrementalBody>> parser_;
+  std::optional<boost::beast::http::response_parser<http::IncrementalBody>> parser_;
   std::size_t head_bytes_ = 0;
   int interim_responses_ = 0;
 };
