--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -24,14 +24,14 @@
 constexpr std::size_t kMaxHeadBytes = 8UL * 1024;
 constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;  // after the response
 constexpr std::size_t kReadSize = 4096;                  // bytes
-constexpr double kRequestTimeout = 2.2;  // s for a call, and as long again to take its response
+constexpr double kRequestTimeout = 2.2;  // s for a request, and as long again to take its response
 constexpr double kCloseTimeout = 1;      // s for a peer to close after its response
 
 }  // namespace
 
 AdminConnection::AdminConnection(const AdminCallbacks& callbacks, tcp::socket socket)
     : callbacks_(callbacks), socket_(std::move(socket)), state_since_(now()) {
-  // A body is not read. Without any limit Beast 1.74 takes every Content-Length for too long.
+  // The body is not read. Without a limit Beast 1.74 rejects every Content-Length as too large.
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
@@ -67,7 +67,7 @@
   });
 }
 
-// What goes wrong here, be it memory, ends this connection alone.
+// An exception, such as one for lack of memory, ends this connection alone.
 void AdminConnection::read() {
   try {
     read_available();
@@ -128,7 +128,7 @@
                     });
 }
 
-// Closing over unread bytes would reset the connection and might take the response along.
+// Closing a socket with unread bytes resets the connection, and the peer may lose the response.
 void AdminConnection::begin_closing() {
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -1,4 +1,4 @@
-// One operator's connection to the admin server: one call, one response.
+// One operator's connection to the admin server: one request, one response.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -24,7 +24,7 @@
 
   void start(std::function<void()> on_closed);
   void close();
-  // Closes a connection that has had its time; a peer that has sent a part of a call gets a response.
+  // Closes a connection that is overdue; a peer that has sent an incomplete request gets a response.
   void close_overdue();
 
   bool is_overdue() const;
@@ -46,7 +46,7 @@
   boost::asio::ip::tcp::socket socket_;
   std::function<void()> on_closed_;
   State state_ = State::kReading;
-  bool has_bytes_ = false;  // of a call
+  bool has_bytes_ = false;  // of a request
   double state_since_;
   std::size_t head_bytes_ = 0, discarded_bytes_ = 0;
   std::string input_, output_;
--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -14,10 +14,10 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr int kMaxAcceptsPerWait = 64;  // then other sockets have their turn
+constexpr int kMaxAcceptsPerWait = 64;  // so that other sockets are served in between
 constexpr int kBacklog = 256;
 constexpr auto kOverduePeriod = std::chrono::milliseconds(200);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // never a busy loop
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
 
 }  // namespace
 
@@ -42,7 +42,7 @@
   });
 }
 
-// Whether to go on; if not, accepting has been scheduled.
+// Returns whether more may be accepted now; if not, accepting has been scheduled.
 bool AdminServer::accept_one() {
   error_code error;
   tcp::socket socket(io_);
@@ -74,8 +74,8 @@
   }
 }
 
-// One that has its response goes first, then the oldest that has not made its call. One that is being
-// answered goes last.
+// Closes one connection: preferably one that has its response, else the oldest that has sent no complete
+// request, else the oldest.
 void AdminServer::evict_one() {
   const auto find = [this](const auto& predicate) {
     return std::find_if(connections_.begin(), connections_.end(), predicate);
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -1,4 +1,4 @@
-// The operators' address: GET /ready and GET /metrics, one call to a connection.
+// The operators' address: GET /ready and GET /metrics, one request to a connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,10 +11,10 @@
 
 namespace asterdrift::node::admin {
 
-// Has a few connections of its own, so that neither many clients nor idle peers keep it from responding.
+// Has a few connections of its own, so that it responds however many clients and idle peers are connected.
 class AdminServer {
  public:
-  // A descriptor for the next one is reserved too.
+  // One more file descriptor is reserved for the next connection.
   static constexpr std::size_t kMaxConnections = 12;
 
   using Callbacks = AdminCallbacks;
--- a/node/config/endpoint_list.h
+++ b/node/config/endpoint_list.h
@@ -17,7 +17,7 @@
 
 namespace asterdrift::node::config {
 
-// A list that is not valid, or not one that this node can hold.
+// A list that is not valid, or too large for this node's memory.
 class EndpointListError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -36,7 +36,7 @@
 
 constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
 
-// zones: their names in the order of the settings. max_endpoints: a longer list is refused.
+// zones: their names in the order of the settings. max_endpoints: a longer list is rejected.
 // Throws EndpointListError.
 EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
                                 std::size_t max_endpoints = kNoLimit);
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -9,11 +9,11 @@
 namespace asterdrift::node::config {
 namespace {
 
-// Bytes of text that are buffered: of one entry, or of all fields that are no entries.
+// Buffered text of one entry, or of all fields except the entries.
 constexpr std::size_t kMaxBufferedTextBytes = 256UL * 1024;
-constexpr std::size_t kEntryParserBytes = 4096;  // bytes on the stack; the usual entry needs no more
+constexpr std::size_t kEntryParserBytes = 4096;  // on the stack; enough for ordinary entries
 
-// How many brackets are open in the list itself, between the entries, and in one.
+// The number of open brackets in the list itself, between its entries, and in an entry.
 constexpr std::size_t kListDepth = 1, kEntriesDepth = 2, kEntryDepth = 3;
 
 bool is_space(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
@@ -22,7 +22,7 @@
 
 EndpointListReader::Progress EndpointListReader::feed(std::string_view bytes) {
   for (std::size_t at = 0; at < bytes.size(); ++at) {
-    if (in_string_ && !escaped_) {  // all up to what has a meaning in a string
+    if (in_string_ && !escaped_) {  // up to the next character with a meaning in a string
       const std::size_t end = std::min(bytes.find_first_of("\"\\\n", at), bytes.size());
       buffer(bytes.substr(at, end - at));
       at = end;
@@ -82,7 +82,7 @@
   buffer(c);
 }
 
-// What separates the entries is not buffered, so that it is checked here.
+// The separators of entries are not buffered, and are therefore checked here.
 void EndpointListReader::read_between_entries(char c) {
   const bool valid = c == ',' ? after_entry_ : c == '{' ? !after_entry_ : c == ']' && !after_comma_;
   if (!valid) throw EndpointListError("field 'hosts' is not an array of objects");
@@ -110,7 +110,7 @@
   return Event::kList;
 }
 
-// Outside of strings, one space says as much as many.
+// Outside of strings, consecutive spaces are reduced to one.
 void EndpointListReader::buffer(char c) {
   const std::string& to = current_buffer();
   if (c == ' ' && !in_string_ && !to.empty() && to.back() == ' ') return;
--- a/node/config/endpoint_list_reader.h
+++ b/node/config/endpoint_list_reader.h
@@ -10,8 +10,8 @@
 
 namespace asterdrift::node::config {
 
-// An incremental reader: it parses one entry at a time, so that no more of a list's text is buffered than its
-// other fields and one entry. A list counts once it is complete.
+// An incremental reader: it parses one entry at a time, and buffers only that entry's text and the list's
+// other fields. Only complete lists are returned.
 class EndpointListReader {
  public:
   enum class Event { kNothing, kEmptyLine, kList };
@@ -21,12 +21,12 @@
     std::size_t bytes;  // that have been read
   };
 
-  // zones: as for read_endpoint_list; has to outlive the reader. max_endpoints: a longer list is refused.
+  // zones: as for read_endpoint_list; has to outlive the reader. max_endpoints: a longer list is rejected.
   EndpointListReader(const std::vector<std::string>& zones, std::size_t max_endpoints)
       : zones_(zones), max_endpoints_(max_endpoints) {}
 
-  // Reads up to the end of an empty line or of a list, or all of `bytes`. Throws EndpointListError where no
-  // list can begin or go on so; the reader is of no further use then.
+  // Reads up to the end of an empty line or of a list, or all of `bytes`. Throws EndpointListError where the
+  // text is not a valid list; the reader cannot be used after that.
   Progress feed(std::string_view bytes);
 
   // The list that has just ended.
--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -18,9 +18,9 @@
 constexpr double kMinMemoryMb = 16, kMaxMemoryMb = 1e6;
 constexpr int kHexadecimal = 16;
 
-// The list that the configuration has under `known`, and the configuration without it: in one document a long
-// list would take ten times its size. Where the text is not well nested nothing is cut out; parsing it tells
-// why.
+// The endpoint list under `known`, and the configuration without it. A long list is read separately, since in
+// one JSON document it would take ten times its size. Where the text is not well nested nothing is cut out;
+// parsing then reports the error.
 struct ConfigText {
   std::string_view known;
   std::string rest;
--- a/node/config/node_config.h
+++ b/node/config/node_config.h
@@ -1,4 +1,4 @@
-// What a node is told at its start.
+// The configuration of a node.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -29,11 +29,11 @@
   balancer::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
   double connect_timeout = 0.25;                     // s
-  double server_idle_timeout = 5;                    // s; servers close connections that are idle for so long
-  std::optional<EndpointList> known_endpoints;       // as this node last had them; may be old
+  double server_idle_timeout = 5;                    // s after which servers close idle connections
+  std::optional<EndpointList> known_endpoints;       // from an earlier process of this node; may be outdated
 };
 
-// Half of the node's memory is for endpoints; a longer list is refused. An endpoint takes about 470 bytes in
+// Half of the node's memory is for endpoints; a longer list is rejected. An endpoint takes about 470 bytes in
 // the balancer and the pools, and 650 while a snapshot is being applied.
 constexpr std::size_t kBytesPerEndpoint = 600;
 std::size_t max_endpoints(std::size_t memory_mb);
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -52,8 +52,8 @@
   current_->start();
 }
 
-// The new address is called at once and for a snapshot, since its versions need not be those of the old one.
-// Nothing known is given up before it has brought one.
+// The new address is polled at once, and for a snapshot, since its versions may differ from those of the old
+// one. The current endpoints stay in use until then.
 void DiscoveryClient::change_address(const boost::asio::ip::tcp::endpoint& address) {
   if (address == address_) return;
   log_line("discovery address changed: " + net::to_text(address_) + " -> " + net::to_text(address));
@@ -79,19 +79,19 @@
   });
 }
 
-// With jitter: all nodes lose discovery at once and must not come back at once.
+// With jitter, since all nodes lose discovery at once and must not poll it again at once.
 double DiscoveryClient::retry_wait() {
   const double wait = poll_timeouts::wait(is_pushed()) * (0.5 + jitter() / 2);
   return std::max(wait, budget_.wait(now()));
 }
 
-// The first snapshot of an address is what was asked for. Each further one that answers a call counts as
-// wasted: repeated again and again, for changes that are not valid or on watches that break, it must not cost
-// more. What comes on an open watch has not been asked for anew and delays no call.
+// The first snapshot of an address is needed. Each further snapshot that begins a watch is charged to the
+// poll budget, since invalid changes and broken watches may have it repeated without end. Later lists of a
+// watch are not charged.
 void DiscoveryClient::handle_list(const EndpointWatch* watch, const config::EndpointList& list,
                                   std::size_t first_bytes) {
   if (watch == successor_.get()) {
-    if (current_) current_->close();  // what an abandoned watch says later is old
+    if (current_) current_->close();  // its later lists would be outdated
     current_ = std::exchange(successor_, nullptr);
     is_changing_address_ = false;
   }
@@ -114,7 +114,7 @@
   if (watch != current_.get() && watch != successor_.get()) return;
   log_error(watch->address(), error);
   record_error(error);
-  if (watch == successor_.get()) {  // the balancer has not asked for this one: it is called again here
+  if (watch == successor_.get()) {  // the balancer has not requested this one, and does not retry it
     successor_.reset();
     return schedule(retry_wait(), [this] { start_successor(); });
   }
@@ -124,7 +124,7 @@
   callbacks_.on_watch_failed();
 }
 
-// One line for a connection that was lost, and for each new reason why lists are not valid.
+// Logs the first error after a list, and each new reason to reject a list.
 void DiscoveryClient::log_error(const boost::asio::ip::tcp::endpoint& address, const WatchError& error) {
   const bool is_invalid = error.kind == WatchError::Kind::kInvalidList;
   const bool is_new_reason = is_invalid && error.message != last_invalid_;
@@ -141,8 +141,8 @@
                        is_invalid ? PollBudget::Waste::kInvalid : PollBudget::Waste::kTruncated);
   if (is_invalid) {
     last_invalid_ = error.message;
-    // Changes that are not valid would come again, so that a snapshot is needed next; where it is the
-    // snapshot that is not valid, the changes since the last good list may be.
+    // Invalid changes would be repeated, so that a snapshot is needed next. Where the snapshot is invalid,
+    // the changes since the last valid list may not be.
     snapshot_next_ = !error.is_first_snapshot;
     budget_.record_invalid_list(now(), jitter());
   }
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -1,4 +1,4 @@
-// Keeps a node informed of the endpoints that discovery lists.
+// Watches discovery for endpoint lists.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,8 +17,8 @@
 
 namespace asterdrift::node::discovery {
 
-// Has one watch at a time, and another one after it has failed. While discovery moves to another address, a
-// second watch at the new address takes over as soon as it has brought a list.
+// Has one watch at a time, and starts another one after it has failed. After a change of discovery's address,
+// a second watch at the new address takes over with its first list.
 class DiscoveryClient {
  public:
   struct Callbacks {
@@ -30,11 +30,11 @@
   DiscoveryClient(boost::asio::io_context& io, const config::NodeConfig& config, Callbacks callbacks);
   ~DiscoveryClient();
 
-  // Starts a watch unless one is under way. Where the balancer asks for watches it also chooses when to ask
-  // again; elsewhere the client does. In both cases a watch starts later where too much has been wasted.
+  // Starts a watch unless one is active. Where the balancer requests watches, it also decides when to poll
+  // again; otherwise this client does. In both cases the poll budget may delay the watch.
   void watch();
 
-  // Discovery is at another address from now on. Until that has brought a list, the old watch still counts.
+  // Discovery is at another address from now on. The old watch stays active until the first list from there.
   void change_address(const boost::asio::ip::tcp::endpoint& address);
 
  private:
@@ -60,9 +60,9 @@
   bool snapshot_next_ = false;            // the changes since then are not valid
   bool had_snapshot_ = false;             // from this address
   std::shared_ptr<EndpointWatch> current_;
-  std::shared_ptr<EndpointWatch> successor_;  // at an address that has not brought a list yet
-  bool is_changing_address_ = false;          // there is such an address
-  bool is_connected_ = true;                  // the last event was a list, not an error
+  std::shared_ptr<EndpointWatch> successor_;  // at a new address, until its first list
+  bool is_changing_address_ = false;          // no list has come from address_ yet
+  bool is_connected_ = true;                  // the last event was a list and not an error
   std::string last_invalid_;                  // message of the last list that was not valid, logged once
   PollBudget budget_;
   std::minstd_rand random_;
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -16,7 +16,7 @@
 using http::kOk;
 using Kind = WatchError::Kind;
 
-// Bytes of a long list which show that the watch is alive.
+// Bytes of a long list that count as progress of the watch.
 constexpr std::size_t kProgressBytes = 64UL * 1024;
 constexpr int kHttp11 = 11;
 
@@ -82,18 +82,18 @@
   stream_.expires_after(timing::duration_of(time - timing::now()));
 }
 
-// Without its empty lines for so long a watch that is connected counts as broken. Bytes that make no line and
-// no list do not show that it is alive, unless they are many: a long list takes its time.
+// A line or list has arrived, or many bytes of a long list: the silence timeout starts again. A few bytes
+// that complete neither do not count.
 void EndpointWatch::on_alive() {
   unused_bytes_at_alive_ = unused_bytes_;
   set_deadline(timing::now() + poll_timeouts::kSilence);
 }
 
-// A list that is truncated is dropped with its connection; only complete ones count.
+// A truncated list is discarded with its connection.
 void EndpointWatch::handle_body() {
   const std::string bytes = std::exchange(parser_.get().body(), {});
   unused_bytes_ += bytes.size();
-  // Whatever goes wrong while a list is read or applied must end this watch, so that another one follows.
+  // Any error while a list is read or applied must end this watch, so that another one is started.
   try {
     handle_lines(bytes);
   } catch (const std::exception& error) {
--- a/node/discovery/endpoint_watch.h
+++ b/node/discovery/endpoint_watch.h
@@ -1,4 +1,4 @@
-// One call to discovery: a stream of endpoint lists over HTTP/1.1.
+// One poll of discovery: a stream of endpoint lists over HTTP/1.1.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,15 +22,15 @@
 struct WatchError {
   enum class Kind {
     kConnect,      // no connection
-    kWrite,        // the call could not be written
+    kWrite,        // the request could not be written
     kResponse,     // no head of a response, or a status other than 200
-    kStream,       // the stream broke, was silent or ended
+    kStream,       // the stream was reset, timed out or ended
     kInvalidList,  // a list that is not valid
   };
   Kind kind = Kind::kStream;
   std::string message;
   std::size_t wasted_bytes = 0;    // received since the last list
-  bool is_first_snapshot = false;  // the watch asked for a snapshot and had no list yet
+  bool is_first_snapshot = false;  // the watch requested a snapshot and had no list yet
 };
 
 class EndpointWatch : public std::enable_shared_from_this<EndpointWatch> {
@@ -38,7 +38,7 @@
   struct Options {
     boost::asio::ip::tcp::endpoint address;
     std::optional<std::uint64_t> since;  // only changes after this version; none: a snapshot first
-    bool is_pushed = false;              // discovery is an agent on this machine
+    bool is_pushed = false;              // discovery is an agent on this host
     const std::vector<std::string>& zones;
     std::size_t max_endpoints = 0;
   };
@@ -46,7 +46,7 @@
   struct Callbacks {
     // A list, and the bytes of the first one of this watch; 0 for later ones.
     std::function<void(EndpointWatch*, config::EndpointList&&, std::size_t first_bytes)> on_list;
-    // The watch has ended by itself. Not called after close().
+    // The watch has failed. Not called after close().
     std::function<void(EndpointWatch*, const WatchError&)> on_error;
   };
 
--- a/node/discovery/poll_budget.h
+++ b/node/discovery/poll_budget.h
@@ -1,4 +1,4 @@
-// What polling discovery may cost a node.
+// Limits the bytes that a node receives from discovery in vain.
 #pragma once
 
 #include <algorithm>
@@ -6,26 +6,24 @@
 
 namespace asterdrift::node::discovery {
 
-// A budget in bytes for all responses that were of no use, and a backoff after lists that were not valid.
-// Calls that bring nothing (refused, silent) cost nothing here and are repeated soon. Notification within 6 s
-// goes before the budget: only after lists that are not valid, where another call brings no news, is the wait
-// longer.
+// A budget in bytes for responses without a usable list, and a backoff after invalid lists. Polls that
+// receive nothing are not charged, and are retried soon. Notification within poll_timeouts::kNotifiedAfter
+// takes precedence over the budget, except after invalid lists, which another poll would only repeat.
 class PollBudget {
  public:
-  static constexpr double kBytesPerSecond = 29'000;    // for control, in the long run
+  static constexpr double kBytesPerSecond = 29'000;    // refill
   static constexpr double kBurst = 8.0 * 1024 * 1024;  // bytes; two snapshots of 27,000 endpoints, 4 MB each
   static constexpr double kFirstBackoff = 0.25;        // s, after a list that is not valid; then doubled
-  // Lists may be valid again at any moment, so that this and a call that hangs stay under the 6 s after which
-  // a change counts as notified. What costs more in the long run is limited by the bytes.
+  // This backoff and one poll that hangs stay below poll_timeouts::kNotifiedAfter together.
   static constexpr double kMaxBackoff = 3;  // s
 
   enum class Waste {
-    kTruncated,  // the call failed or broke within a list
-    kRepeated,   // a snapshot of what is known already
+    kTruncated,  // the poll failed, or the stream ended within a list
+    kRepeated,   // another snapshot
     kInvalid     // not a valid list
   };
 
-  // Bytes have been received that were of no use. jitter: 0 to 1, keeps nodes from calling in step.
+  // Bytes have been received in vain. jitter: 0 to 1, so that nodes do not poll at the same time.
   void record_waste(double now, std::size_t bytes, double jitter, Waste waste) {
     const double refilled = std::min(kBurst, bytes_left_ + (now - updated_at_) * kBytesPerSecond);
     bytes_left_ = refilled - static_cast<double>(bytes);
@@ -36,7 +34,7 @@
     defer_until(now + (waste == Waste::kInvalid ? wait : std::min(wait, longest)));
   }
 
-  // Whether more has been wasted than the budget holds.
+  // Whether the budget is exhausted.
   bool is_spent() const { return bytes_left_ < 0; }
 
   void record_invalid_list(double now, double jitter) {
@@ -46,10 +44,10 @@
 
   void record_valid_list() { backoff_ = 0; }
 
-  // s; how long the next call has to wait.
+  // s until the next poll is allowed.
   double wait(double now) const { return std::max(0.0, not_before_ - now); }
 
-  // Discovery has moved to another address, which is called at once. What has been wasted stays counted.
+  // Allows a poll at once, as after a change of discovery's address. The bytes received stay charged.
   void allow_now() {
     backoff_ = 0;
     not_before_ = 0;
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -14,14 +14,14 @@
 
 namespace asterdrift::node::dispatch {
 
-// A request that has been read and is valid.
+// A valid request.
 struct DownstreamRequest {
   balancer::Request balancer_request;  // the dispatcher fills in id, time_left and body_arriving
   std::shared_ptr<upstream::UpstreamRequest> forwarded;
   std::string client_id;   // of the client's Request-Id header
   double received_at = 0;  // on the steady clock
   double timeout = 0;      // s, from when the client sent its last byte
-  // Whether the client has closed its side of the connection; empty: that cannot be known.
+  // Whether the client has disconnected; empty where that is not known.
   std::function<bool()> has_client_disconnected;
 };
 
@@ -31,8 +31,8 @@
   double retry_after = 0;  // s; 0: no header
   std::string body = {}, content_type = {};
   memory::MemoryReservation body_reservation = {};
-  std::shared_ptr<memory::BodyStream> streamed_body = {};  // of a streamed response: all of its body
-  std::optional<std::uint64_t> content_length = {};        // of that, where it is known
+  std::shared_ptr<memory::BodyStream> streamed_body = {};  // of a streamed response, in place of body
+  std::optional<std::uint64_t> content_length = {};        // of streamed_body, where it is known
 };
 
 }  // namespace asterdrift::node::dispatch
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -62,7 +62,7 @@
 
 bool Connection::close_if_idle() {
   if (!is_in(State::kIdle) && !is_in(State::kFresh)) return false;
-  // Unread bytes are a request that this machine has taken.
+  // Unread bytes are a request that has already been received.
   if (net::has_unread_bytes(socket_.native_handle())) return false;
   close();
   return true;
@@ -127,7 +127,7 @@
   }
   const std::string_view bytes(server_.read_buffer.data(), size);
   if (is_in(State::kWaiting) || is_in(State::kWriting)) {
-    // Left unread, they would hide a disconnection.
+    // Unread bytes would hide a disconnection.
     input_.append_pipelined(bytes);
     return wait_readable();
   }
@@ -216,7 +216,7 @@
   server_.check_not_in_flight(reader_.api_request()->client_id);
   if (server_.is_overloaded() || !server_.dispatcher.list_is_current())
     throw RequestError(kServiceUnavailable);
-  // The request may have waited in the machine's queue for longer than its client did.
+  // The request may have waited in the socket for longer than its client did.
   if (has_client_disconnected()) {
     close();
     return false;
@@ -273,7 +273,7 @@
 }
 
 void Connection::respond(dispatch::Response&& response, bool close_connection) {
-  // The rest of an upload is not read, so that the begin of the next request is not known.
+  // The rest of an upload is not read, so that the start of the next request is not known.
   const bool is_uploading = is_in(State::kUploading);
   const bool client_reads_chunks = reader_.client_reads_chunks();
   closes_after_response_ = close_connection || is_uploading ||
--- a/node/downstream/listed_state.h
+++ b/node/downstream/listed_state.h
@@ -7,7 +7,7 @@
 
 namespace asterdrift::node::downstream {
 
-// Keeps the server's lists and its count of busy connections in step with the state.
+// Updates the server's lists and its count of busy connections with the state.
 class ListedState {
  public:
   // server has to outlive this.
--- a/node/downstream/receive_pace.h
+++ b/node/downstream/receive_pace.h
@@ -6,7 +6,7 @@
 
 namespace asterdrift::node::downstream {
 
-// Clients may take 2 s for a head and send a body at 64 kB/s. All times are seconds on the steady clock.
+// Clients may take 2 s for a head, and send a body at 64 kB/s. Times are seconds on the steady clock.
 class ReceivePace {
  public:
   void begin(double now) {
@@ -17,7 +17,7 @@
   void add_body_bytes(std::size_t bytes) { body_bytes_ += bytes; }
   void set_body_bytes(std::size_t bytes) { body_bytes_ = bytes; }
 
-  // While the server takes no bytes, the client's time stands still.
+  // While the server takes no bytes, the client's time does not count.
   void pause(double now) { paused_at_ = now; }
   void resume(double now) {
     if (is_paused()) paused_for_ += now - std::exchange(paused_at_, 0);
@@ -26,7 +26,8 @@
 
   double began_at() const { return began_at_; }
   bool is_in_head() const { return head_at_ == 0; }
-  // Whether too little of the request has arrived for its time. A head is always behind: it has one limit.
+  // Whether too little of the body has arrived for the elapsed time. True for an incomplete head: its time is
+  // limited by the caller.
   bool is_too_slow(double now) const {
     if (is_in_head()) return true;
     const double allowed = kBodyGrace + static_cast<double>(body_bytes_) / kMinBytesPerSecond;
--- a/node/downstream/request_parser.cpp
+++ b/node/downstream/request_parser.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned kHttp11 = 11;
 
-// Whether a header line goes on in the next line. Beast joins such lines, other programs read them as two.
+// Whether a header is folded over two lines. Beast joins them, other implementations read two headers.
 bool has_folded_header(std::string_view bytes) {
   const std::string_view head = bytes.substr(0, bytes.find("\r\n\r\n"));
   return head.find("\r\n ") != std::string_view::npos || head.find("\r\n\t") != std::string_view::npos;
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-// Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit, and takes the
-// body for more of the head.
+// Not eager: an eager parser of Beast 1.74 continues after a head whose body is over the limit, and parses
+// the body as a head.
 RequestParser::RequestParser() { parser_.body_limit(memory::kMaxBodyBytes); }
 
 RequestParser::Event RequestParser::parse(std::string_view& bytes) {
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -18,10 +18,10 @@
   using Head = boost::beast::http::header<true, boost::beast::http::fields>;
 
   enum class Event {
-    kNeedsMore,  // nothing more can be parsed of these bytes
-    kProgress,   // a part of the head
+    kNeedsMore,  // these bytes complete nothing
+    kProgress,   // bytes of the head
     kHead,       // the head is complete
-    kBody        // a part of the body
+    kBody        // bytes of the body
   };
 
   static constexpr std::size_t kMaxHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
@@ -37,7 +37,7 @@
   bool is_keep_alive() const { return parser_.get().keep_alive(); }
   bool client_reads_chunks() const;  // HTTP/1.1
   std::optional<std::uint64_t> content_length() const;
-  // The part of the body that has been parsed; the caller may take it away.
+  // The bytes of the body that have been parsed; the caller may move them.
   std::string& body() { return parser_.get().body(); }
 
  private:
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -11,7 +11,7 @@
 
 namespace beast_http = boost::beast::http;
 
-// Responses need memory too, so requests leave half of the budget to them.
+// Half of the budget is reserved for responses.
 std::size_t headroom(const memory::MemoryBudget& budget) { return budget.size() / 2; }
 
 }  // namespace
@@ -57,10 +57,10 @@
   if (boost::beast::iequals(head[beast_http::field::expect], "100-continue")) callbacks_.send_continue();
 }
 
-// Bytes of a body. Whether an upload begins.
+// Takes parsed bytes of the body. Returns whether an upload begins.
 bool RequestReader::handle_body() {
   std::string& body = parser_->body();
-  if (upload_ || !request_) {  // a request that is not to /api gets a 404 in the end
+  if (upload_ || !request_) {  // discarded: the response will be 404
     pace_.add_body_bytes(body.size());
     if (upload_) upload_->write(body);
     body.clear();
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -19,19 +19,19 @@
 
 namespace asterdrift::node::downstream {
 
-// Validates a request as soon as its head is there: one that cannot be used is rejected without its body.
+// Validates a request as soon as its head is complete, and rejects invalid ones without reading their bodies.
 // Buffers small bodies, and streams large ones to the dispatcher while they arrive.
 class RequestReader {
  public:
   enum class Result {
     kNeedsMore,  // bytes
-    kPaused,     // until the server has taken some of the upload
-    kUpload,     // the request is to be dispatched with upload(); reading goes on after that
+    kPaused,     // until the server has taken more of the upload
+    kUpload,     // the request is to be dispatched; its body follows by later reads
     kComplete    // the request, or its upload
   };
 
   struct Callbacks {
-    std::function<void()> send_continue;  // the client waits for 100 Continue
+    std::function<void()> send_continue;  // the client expects 100 Continue
     std::function<void()>
         on_upload_resumed;  // more of an upload may be read; later, never from within read()
   };
@@ -46,14 +46,14 @@
   void begin(double now);
   // Reads from `input`, and removes what it has read. Throws RequestError.
   Result read(std::string& input);
-  // Releases what is held for the request; an upload is cut off.
+  // Releases the memory of the request. An upload is truncated.
   void release();
 
   // Of a complete request or an upload.
   std::string_view path() const { return RequestValidator::path_of(parser_->head()); }
   boost::beast::http::verb method() const { return parser_->method(); }
   const std::optional<dispatch::DownstreamRequest>& api_request() const { return request_; }  // to /api
-  // The request to be dispatched, with what there is of its body.
+  // The request to be dispatched, with the bytes of its body that have arrived.
   dispatch::DownstreamRequest take_api_request();
   bool has_body() { return !parser_->body().empty(); }
   // After the request has been dispatched without an upload.
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -22,12 +22,11 @@
 constexpr std::size_t kMaxTargetBytes = 2048;      // bytes
 constexpr std::size_t kMaxLengthDigits = 18;
 
-// The headers with a meaning here, at most one of each; they are forwarded to the server, except for the
-// timeout.
+// Headers that the node interprets, at most one of each. All but the timeout are forwarded to the server.
 constexpr std::array kInterpretedHeaders = {"Request-Id",         "Request-Class",   "Tenant",
                                             "Request-Timeout-Ms", "Idempotency-Key", "Client-Retry",
                                             "Work-Hint",          "Request-Info"};
-// The others that are forwarded. All else says nothing to a server, or belongs to the one connection.
+// Other headers that are forwarded. The rest have no meaning to servers, or apply to one connection.
 constexpr std::array kForwardedHeaders = {"Host", "Cookie", "Content-Type"};
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
@@ -55,7 +54,7 @@
   return request;
 }
 
-// A header that this node would read in one way and a server in another is rejected.
+// Rejects headers that this node and a server might interpret differently.
 void check_interpreted_headers(const Head& head) {
   for (const char* name : kInterpretedHeaders) {
     if (head.count(name) > 1) throw RequestError(kBadRequest, "a header twice");
@@ -97,9 +96,9 @@
       tenant_indexes_(index_of(config.tenants)),
       classes_(config.settings.classes) {}
 
-// Against request smuggling, that is a second request hidden in a body. Beast 1.74 rejects a length beside
-// "chunked", but takes a length after any other encoding, a list of encodings that ends in "chunked", and the
-// same length twice.
+// Prevents request smuggling, that is a second request hidden in a body. Beast 1.74 rejects a length next to
+// "chunked", but accepts a length next to any other encoding, a list of encodings that ends in "chunked", and
+// the same length twice.
 void RequestValidator::check_framing(const Head& head) {
   const std::size_t lengths = head.count(beast_http::field::content_length);
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
@@ -144,7 +143,7 @@
   return it->second;
 }
 
-// What servers take for idempotent, or cannot tell from a duplicate, would run twice.
+// Requests whose method or key does not match their class could be executed twice by a server.
 void RequestValidator::check_class(const Head& head, const balancer::RequestClass& request_class) const {
   const bool is_idempotent = request_class.idempotency == balancer::Idempotency::kIdempotent;
   const bool needs_key = request_class.idempotency == balancer::Idempotency::kIdempotencyKey;
--- a/node/downstream/request_validator.h
+++ b/node/downstream/request_validator.h
@@ -1,4 +1,4 @@
-// Which requests can be used: how they are framed and what their headers say.
+// Validates the framing and the headers of requests.
 #pragma once
 
 #include <string>
@@ -17,10 +17,10 @@
  public:
   explicit RequestValidator(const config::NodeConfig& config);
 
-  // Throws RequestError for a head that leaves it open where its message ends.
+  // Throws RequestError for a head that does not define the end of its message unambiguously.
   static void check_framing(const RequestParser::Head& head);
 
-  // A request to /api, without its body and the time at which it came. Throws RequestError.
+  // A request to /api, without its body and received_at. Throws RequestError.
   dispatch::DownstreamRequest read(const RequestParser::Head& head) const;
 
   static std::string_view path_of(const RequestParser::Head& head);
--- a/node/downstream/response_sender.h
+++ b/node/downstream/response_sender.h
@@ -15,7 +15,7 @@
  public:
   virtual ~ResponseSenderOwner() = default;
 
-  // Neither the owner nor its sender is destroyed while this is held.
+  // Neither the owner nor its sender is destroyed while this exists.
   virtual std::shared_ptr<void> keep_alive() = 0;
   // Runs a step of the sender, and handles its exceptions.
   virtual void guard(const std::function<void()>& step) = 0;
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -15,13 +15,13 @@
  public:
   enum class Next {
     kPiece,      // there are more bytes to write
-    kWait,       // the server has not sent more yet
-    kTruncated,  // the server has broken off
+    kWait,       // for more bytes from the server
+    kTruncated,  // the server has not sent the complete body
     kComplete    // all has been written
   };
 
   struct Options {
-    bool close_connection = false;     // says so to the client
+    bool close_connection = false;     // sends Connection: close
     bool client_reads_chunks = false;  // else a body of unknown length ends with the connection
     bool head_only = false;            // the response to a HEAD request
   };
@@ -36,18 +36,18 @@
 
   // Of a streamed response until it is complete; else null.
   const std::shared_ptr<memory::BodyStream>& stream() const { return stream_; }
-  // The client has gone: the server's bytes have no reader.
+  // The client has disconnected: the rest of the stream is not read.
   void abandon();
 
  private:
-  std::string piece_;            // the head, or a part of a streamed body
+  std::string piece_;            // the head, or bytes of a streamed body
   dispatch::Response response_;  // its body is written behind the head
   bool has_body_ = false;
   bool is_chunked_ = false;
   std::shared_ptr<memory::BodyStream> stream_;
 };
 
-// Whether a response's end is told by the end of its connection alone.
+// Whether only the end of the connection marks the end of the response.
 bool ends_with_connection(const dispatch::Response& response, bool client_reads_chunks);
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -21,17 +21,18 @@
 using timing::now;
 
 constexpr double kIdleTimeout = 20;  // s without a request
-// s; for a head, from the connection's start if it is its first. A client that sends nothing of use has 3 s.
+// s; for a head, from the connection's start if it is its first. Operators allow 3 s for a client without a
+// complete request.
 constexpr double kReadTimeout = 2.4;
 constexpr double kWriteTimeout = 5;  // s for a client to take any byte of its response
 constexpr double kCloseTimeout = 1;  // s for a client to close after its last response
 // s in which a new connection, or a request that is being read, is not evicted.
 constexpr double kEvictionAge = 0.25;
 constexpr int kEvictionAttempts = 16;   // connections examined to find one that can be evicted
-constexpr int kMaxAcceptsPerWait = 64;  // then other sockets have their turn
+constexpr int kMaxAcceptsPerWait = 64;  // so that other sockets are served in between
 constexpr int kBacklog = 4096;
 constexpr auto kOverduePeriod = std::chrono::milliseconds(100);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // never a busy loop
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
 
 // Calls `visit` for the connections of a list while it returns true. A visit may remove its connection.
 template <class Visit>
@@ -52,8 +53,8 @@
   });
 }
 
-// Closes one idle connection that entered the list before a time. Whether there was one. One with a request
-// that is not read yet must not protect those behind it.
+// Closes one idle connection that entered the list before a time, and returns whether there was one.
+// Connections with an unread request are skipped.
 bool evict_idle(ConnectionList& list, double before) {
   bool evicted = false;
   int attempts = 0;
@@ -105,8 +106,8 @@
   if (has_more_capacity && is_full_) accept();
 }
 
-// Keeps to the limit on descriptors: a connection that does nothing makes room; where there is none, the rest
-// wait in the machine's queue until one closes.
+// At the limit, an inactive connection is closed for each new one. Where there is none, new connections wait
+// in the listen backlog until one closes.
 void Server::accept() {
   if (is_accepting_ || !state_.is_listening || !acceptor_.is_open()) return;
   is_accepting_ = true;
@@ -121,7 +122,7 @@
   });
 }
 
-// Whether to go on; if not, accepting is resumed later.
+// Returns whether more may be accepted now; if not, accepting is resumed later.
 bool Server::accept_one() {
   if (state_.connections >= state_.max_connections && !evict_one()) {
     if (!is_full_) log_connection_limit();
@@ -135,7 +136,7 @@
     accept();
     return false;
   }
-  if (error) {  // no descriptor left, most likely
+  if (error) {  // probably no descriptor left
     accept_later();
     return false;
   }
@@ -173,9 +174,10 @@
   if (is_full_) accept();
 }
 
-// The least useful go first: those that have their last response, those that never sent a byte, those that
-// are idle, and last those that are slow to send. Clients that have just connected and are about to send are
-// spared: evicted at once, they would come again and evict each other without end.
+// Closes one inactive connection, and returns whether there was one. The order: connections that have had
+// their last response, those that have never sent a byte, idle ones, and those that send slowly. New
+// connections are spared for kEvictionAge: otherwise clients that reconnect would evict each other without
+// end.
 bool Server::evict_one() {
   ConnectionLists& lists = state_.lists;
   if (!lists.closing.empty()) {
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -1,4 +1,4 @@
-// The clients' side of a node: accepts connections, and keeps them within the limits.
+// Accepts clients' connections, and enforces their limits.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 
 class Server {
  public:
-  // Binds the address; one that is shared may be bound by other processes of this node too. Throws
+  // Binds the address. A shared one may be bound by other processes of this node too. Throws
   // boost::system::system_error where it is not available.
   Server(boost::asio::io_context& io, const config::NodeConfig& config,
          dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
@@ -26,23 +26,23 @@
   // Idle connections beyond the limit are closed.
   void set_max_connections(std::size_t connections);
 
-  // Graceful shutdown, step by step. First, /healthz answers 503; clients may go on using their connections.
+  // Graceful shutdown, step by step. First, /healthz responds 503; connections stay usable.
   void begin_drain() { state_.is_draining = true; }
-  // Then responses end their connections. Idle ones stay, and new ones are still accepted.
+  // Then responses end their connections. Idle ones stay open, and new ones are still accepted.
   void close_after_responses() { state_.closes_after_responses = true; }
-  // Accepts what has been connected by now, and nothing after that.
+  // Accepts the connections in the listen backlog, and none after that.
   void stop_accepting();
   // Idle connections are closed too.
   void close_idle();
-  // Requests of which a part has arrived are rejected.
+  // Incomplete requests are rejected.
   void reject_partial_requests();
 
   std::size_t connections() const { return state_.connections; }
-  // Connections whose response is owed or being written.
+  // Connections whose response is awaited or being written.
   std::size_t busy_connections() const { return state_.busy_connections; }
   // Requests without a complete response.
   std::size_t pending() const { return state_.pending_requests; }
-  // Whether this process can serve, as clients and operators are told.
+  // Whether this process can serve, as /healthz and /ready report.
   bool is_ready() const { return state_.is_ready(); }
 
  private:
@@ -58,7 +58,7 @@
 
   ServerState state_;
   bool is_accepting_ = false;  // a wait for the next connection is pending
-  bool is_full_ = false;       // there is no room; the next connection that closes resumes accepting
+  bool is_full_ = false;       // at the limit; the next connection that closes resumes accepting
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_, overdue_timer_;
 };
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -1,4 +1,4 @@
-// What the connections of the downstream server share.
+// State that the connections of the downstream server share.
 #pragma once
 
 #include <array>
@@ -34,7 +34,7 @@
   kClosed
 };
 
-// Whether a response is owed or being written.
+// Whether a response is awaited or being written.
 bool is_busy(ConnectionState state);
 
 // Connections by state, each list in the order in which they entered it.
@@ -57,9 +57,9 @@
         max_connections(max_connections),
         on_connection_closed(std::move(on_closed)) {}
 
-  // Whether this process can serve, as clients and operators are told.
+  // Whether this process can serve, as /healthz and /ready report.
   bool is_ready() const { return dispatcher.is_ready() && is_listening && !is_draining; }
-  // Whether so many connections wait for responses that further requests are rejected.
+  // Whether so many connections await responses that further requests are rejected.
   bool is_overloaded() const { return busy_connections > max_connections - max_connections / 8; }
   bool has_too_many_connections() const { return connections > max_connections; }
   // Throws RequestError where a request with this client's id is in flight: a second one might run twice, or
@@ -78,12 +78,12 @@
 
   ConnectionLists lists;
   std::size_t connections = 0;
-  std::size_t busy_connections = 0;  // that wait for a response or get one
+  std::size_t busy_connections = 0;  // see is_busy()
   std::size_t pending_requests = 0;  // without a complete response
   bool is_listening = false;
   bool is_draining = false;
   bool closes_after_responses = false;             // responses end their connections
-  std::array<char, 16UL * 1024> read_buffer = {};  // one for all: the process has one thread
+  std::array<char, 16UL * 1024> read_buffer = {};  // shared, since the process has one thread
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/http/body.h
+++ b/node/http/body.h
@@ -15,8 +15,8 @@
 std::string chunk_of(const std::string& bytes);
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// A body that is taken out of the parser as it arrives. Beast's string body would reserve all that the
-// Content-Length announces.
+// A body whose bytes the caller removes from the parser as they arrive. Beast's string body would allocate
+// the complete Content-Length.
 struct IncrementalBody {
   using value_type = std::string;
 
@@ -31,9 +31,9 @@
       std::size_t size = 0;
       for (auto it = boost::asio::buffer_sequence_begin(buffers);
            it != boost::asio::buffer_sequence_end(buffers); ++it) {
-        const boost::asio::const_buffer part = *it;
-        bytes_.append(static_cast<const char*>(part.data()), part.size());
-        size += part.size();
+        const boost::asio::const_buffer buffer = *it;
+        bytes_.append(static_cast<const char*>(buffer.data()), buffer.size());
+        size += buffer.size();
       }
       return size;
     }
--- a/node/http/response.h
+++ b/node/http/response.h
@@ -1,4 +1,4 @@
-// Parts of HTTP/1.1 responses that the node writes itself.
+// HTTP/1.1 responses that the node writes itself.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 // "HTTP/1.1 STATUS REASON" with its end of line.
 std::string status_line(unsigned status);
 
-// To a peer that has sent a part of a request and had its time.
+// To a peer whose request is incomplete at the end of its time.
 constexpr std::string_view kTimeoutResponse =
     "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
--- a/node/memory/body_stream.cpp
+++ b/node/memory/body_stream.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kCapacityBytes = 64UL * 1024;     // bytes
-constexpr std::size_t kMinCapacityBytes = 16UL * 1024;  // bytes, where the budget is spent
+constexpr std::size_t kMinCapacityBytes = 16UL * 1024;  // where the budget is exhausted
 
 }  // namespace
 
--- a/node/memory/body_stream.h
+++ b/node/memory/body_stream.h
@@ -1,4 +1,4 @@
-// A body on its way from one connection to another, a bounded number of bytes at a time.
+// Forwards a body from one connection to another, with a bounded buffer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,26 +12,25 @@
 
 namespace asterdrift::node::memory {
 
-// Bodies up to this size are buffered, so that they can be sent again or wait for a retry's response; larger
-// ones are streamed.
+// Bodies up to this size are buffered, so that a request can be retried; larger ones are streamed.
 constexpr std::size_t kMaxBufferedBodyBytes = 64UL * 1024;  // bytes
 // Larger bodies are rejected.
 constexpr std::size_t kMaxBodyBytes = 40UL * 1024 * 1024;  // bytes
 
-// A bounded buffer between a writer and a reader. Each is notified later, never from within its own call,
-// that the other has moved.
+// A bounded buffer between a writer and a reader. Each is notified of the other's progress, always from the
+// event loop.
 class BodyStream : public std::enable_shared_from_this<BodyStream> {
  public:
   using Callback = std::function<void()>;
 
-  // Where nothing is available in the budget, a body is still streamed, in small pieces.
+  // Where the budget is exhausted, the buffer is smaller.
   BodyStream(boost::asio::io_context& io, MemoryBudget& budget);
 
   // The writer's side.
   bool is_full() const { return bytes_.size() >= capacity_; }
   bool is_abandoned() const { return abandoned_; }
   void write(std::string_view bytes);
-  // No more bytes follow. complete: the body has not been cut off.
+  // No more bytes follow. complete: the body has not been truncated.
   void finish(bool complete);
   void on_writable(Callback callback) { writable_ = std::move(callback); }
 
@@ -41,7 +40,7 @@
   bool is_complete() const { return end_ == End::kComplete; }
   // All bytes that are buffered.
   std::string read();
-  // Nobody reads any more.
+  // The reader has disconnected.
   void abandon();
   void on_readable(Callback callback) { readable_ = std::move(callback); }
 
--- a/node/memory/memory_budget.h
+++ b/node/memory/memory_budget.h
@@ -1,4 +1,4 @@
-// The bytes that bodies may take up in this process, in both directions: one budget, from the memory limit.
+// The bytes that bodies may take up in this process, in both directions.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
 
   std::size_t size() const { return size_; }
   std::size_t available() const { return reserved_ < size_ ? size_ - reserved_ : 0; }
-  // What is reserved beyond the new size is returned as its reservations end.
+  // Reservations beyond the new size stay valid until they end.
   void resize(std::size_t bytes) { size_ = bytes; }
 
  private:
@@ -24,7 +24,7 @@
   std::size_t reserved_ = 0;
 };
 
-// A part of a budget, returned by the destructor. The budget has to outlive it.
+// Reserved bytes of a budget, which has to outlive it. The destructor releases them.
 class MemoryReservation {
  public:
   MemoryReservation() = default;
@@ -39,7 +39,7 @@
   }
   ~MemoryReservation() { release(); }
 
-  // Reserves `bytes` in all, where `headroom` stays available; else returns false and changes nothing.
+  // Reserves `bytes` in total, if `headroom` stays available. Otherwise returns false and changes nothing.
   bool grow_to(std::size_t bytes, std::size_t headroom = 0) {
     if (budget_ == nullptr || bytes <= reserved_) return true;
     if (budget_->available() < bytes - reserved_ + headroom) return false;
--- a/node/net/socket_probe.h
+++ b/node/net/socket_probe.h
@@ -1,4 +1,4 @@
-// What can be seen of a socket without reading from it.
+// Inspects a socket without reading from it.
 #pragma once
 
 namespace asterdrift::node::net {
--- a/node/process/main.cpp
+++ b/node/process/main.cpp
@@ -25,7 +25,7 @@
 
 enum ExitCode { kDrained = 0, kCannotStart = 1, kBadConfiguration = 2 };
 
-// After a node has been killed, its last process may hold the addresses for a moment longer.
+// After a process has been killed, its addresses may stay in use for a moment.
 void start(std::optional<Node>& node, const config::NodeConfig& config) {
   const double began = timing::now();
   for (bool logged = false; !node;) {
@@ -47,7 +47,7 @@
   return code;
 }
 
-// Ends the process at once: what is still open ends with it.
+// Ends the process at once, and with it all open connections.
 [[noreturn]] void serve(Node& node) {
   try {
     node.run();
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -19,23 +19,24 @@
 using State = ProcessGroup::State;
 
 constexpr auto kProcessGroupPeriod = std::chrono::milliseconds(100);
-constexpr double kShareTimeout =
-    1.5;  // s that a new process waits at most for the others to share the limits
+constexpr double kShareTimeout = 1.5;  // s that a new process waits for the others to split the limits
 
 // After SIGTERM, new connections still come for up to 0.4 s, and SIGKILL no sooner than the longest deadline
 // (3 s at most) and 0.7 s after it.
 constexpr auto kDrainPeriod = std::chrono::milliseconds(20);
-constexpr double kAcceptTime = 0.55;        // s; new connections are accepted for so long
-constexpr double kCloseTime = 0.1;          // s after that, before a node without connections ends
-constexpr double kMaxDeadline = 3;          // s
-constexpr double kHandOverTime = 1.2;       // s before the longest deadline, clients are sent to other nodes
-constexpr double kHandOverTimeAlone = 0.1;  // s before the final responses, where there is no other node
-constexpr double kFinalResponseDelay = 0.45;  // s after the longest deadline; what is open then is answered
-constexpr double kWriteTime = 0.1;            // s after that, for responses to be written
+constexpr double kAcceptTime = 0.55;   // s in which new connections are accepted
+constexpr double kCloseTime = 0.1;     // s after kAcceptTime, before a node without connections ends
+constexpr double kMaxDeadline = 3;     // s
+constexpr double kHandOverTime = 1.2;  // s before the longest deadline; clients are sent to other nodes then
+constexpr double kHandOverTimeAlone = 0.1;    // s before the final responses, where there is no other node
+constexpr double kFinalResponseDelay = 0.45;  // s after the longest deadline; open requests are ended then
+constexpr double kWriteTime = 0.1;            // s after the final responses, for writing them
 
 double max_deadline(const balancer::Settings& settings) {
   double longest = 0;
-  for (const balancer::RequestClass& c : settings.classes) longest = std::max(longest, c.timeout);
+  for (const balancer::RequestClass& request_class : settings.classes) {
+    longest = std::max(longest, request_class.timeout);
+  }
   return std::min(longest, kMaxDeadline);
 }
 
@@ -83,7 +84,7 @@
   if (listen_error_) throw *listen_error_;
 }
 
-// One connection's trouble must not end the others.
+// An exception from one event handler must not end the others.
 void Node::run_event_loop() {
   while (!io_.stopped()) {
     try {
@@ -100,8 +101,8 @@
   });
 }
 
-// A configuration that cannot be read or used changes nothing. Only discovery's address is taken over; the
-// rest holds until the next start.
+// Only discovery's address is taken over; other settings apply from the next start. A configuration that
+// cannot be read or used changes nothing.
 void Node::await_reload() {
   reload_signal_.async_wait([this](const error_code& error, int) {
     if (error) return;
@@ -119,8 +120,8 @@
   log_line("listening on " + net::to_text(server_.address()));
 }
 
-// The limits are the node's and not each process's. Until this process can serve, and the others have shared
-// the limits with it, all connections are for the others.
+// The limits are those of the node, not of each process. Until this process can serve, and the others have
+// split the limits with it, the others accept all connections.
 void Node::check_process_group() {
   if (!process_group_.is_visible()) return;
   const std::size_t others = process_group_.count_others(State::kAlive);
@@ -174,17 +175,17 @@
 
 void Node::continue_drain() {
   const double since = now() - drain_began_;
-  // Another process of this node serves: new connections are for it, and clients are sent there as they get
-  // their responses. Idle connections stay for now: a new process has learned nothing of its endpoints, and
-  // given all clients at once it has more of them rejected.
+  // Another process of this node serves: it accepts new connections, and clients connect to it after their
+  // next response. Idle connections stay open for now: the new process has not measured its endpoints yet,
+  // and would reject more requests if all clients came at once.
   const bool is_replaced = process_group_.count_others(State::kServing) > 0;
   if (is_replaced) server_.close_after_responses();
   if (is_replaced || since >= kAcceptTime) {
     if (is_accepting_) server_.stop_accepting();
     is_accepting_ = false;
   }
-  // Where there is no other node to go to, closing connections at the signal would leave clients without
-  // service for seconds in which this node can still serve.
+  // Without another node, clients whose connections were closed early would have no service for seconds in
+  // which this node can still serve.
   const double hand_over_time = is_only_replica_ && !is_replaced
                                     ? final_response_time_ - kHandOverTimeAlone
                                     : final_response_time_ - kFinalResponseDelay - kHandOverTime;
@@ -203,7 +204,7 @@
   });
 }
 
-// A large response may take longer than any deadline. As long as nobody kills this process it is not cut off.
+// A large response may take longer than any deadline, and is not truncated while this process is not killed.
 bool Node::is_drained(double since, bool is_replaced) const {
   const bool is_closed = !is_accepting_ && server_.connections() == 0;
   if (is_closed && (is_replaced || since >= kAcceptTime + kCloseTime)) return true;
--- a/node/process/node.h
+++ b/node/process/node.h
@@ -1,4 +1,4 @@
-// The node's process: owns all parts, and leads them from start to replacement.
+// One process of the node: owns its components, and controls start, reload, replacement and shutdown.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,7 +21,7 @@
 
 namespace asterdrift::node::process {
 
-// The address cannot be listened on, after all.
+// The address could be bound, but not be listened on.
 class ListenError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -43,7 +43,7 @@
   void open_admin_server(const boost::asio::ip::tcp::endpoint& address);
   void listen();
 
-  // Replacement: beside other processes of this node.
+  // Replacement, next to other processes of this node.
   void check_process_group();
   bool may_listen(std::size_t others) const;
   void apply_limits(const ResourceLimits& limits);
@@ -61,7 +61,7 @@
   ProcessGroup process_group_;
   ResourceLimits limits_;
   const double started_at_;
-  const double final_response_time_;  // s after SIGTERM; what is open then is answered
+  const double final_response_time_;  // s after SIGTERM; open requests are ended then
   const bool is_only_replica_;        // of its tier
   discovery::DiscoveryClient discovery_;
   memory::MemoryBudget body_budget_;
--- a/node/process/process_group.cpp
+++ b/node/process/process_group.cpp
@@ -9,8 +9,8 @@
 namespace asterdrift::node::process {
 namespace {
 
-// The program's former name. It stays: a process of an older version looks for the others in this file, and
-// only so can it be replaced by one of this version beside it.
+// The program's former name. It must not change: processes of older versions look for other processes of the
+// node in this file.
 constexpr const char* kLockFilePrefix = "nettlestand-";
 constexpr const char* kLockFileSuffix = ".lock";
 
@@ -72,7 +72,7 @@
 
 std::size_t ProcessGroup::count_others(State state) const {
   std::size_t count = 0;
-  // One query tells that there is no other process, as nearly always.
+  // Usually there is no other process, which one query shows.
   if (file_ < 0 || !lock(file_, F_WRLCK, 0, kMaxProcesses * kStates, F_GETLK)) return count;
   for (int slot = 0; slot < kMaxProcesses; ++slot) {
     if (slot != slot_ && lock(file_, F_WRLCK, byte_of(slot, state), 1, F_GETLK)) ++count;
--- a/node/process/process_group.h
+++ b/node/process/process_group.h
@@ -6,15 +6,15 @@
 
 namespace asterdrift::node::process {
 
-// The processes see each other by locks on the bytes of one file in $TMPDIR. A lock ends with its process, so
-// that nothing stale is left.
+// The processes see each other by locks on the bytes of one file in $TMPDIR. The operating system releases a
+// process's locks when it ends.
 class ProcessGroup {
  public:
-  // What a process publishes, for as long as it lives and has not withdrawn it. The order is that of the
-  // bytes in the file, which other versions of this program read.
+  // A process publishes states until it withdraws them or ends. The order is that of the bytes in the file,
+  // which other versions of this program read.
   enum class State {
     kAlive,          // published from the start
-    kSharingLimits,  // keeps to its part of the node's limits
+    kSharingLimits,  // applies its fraction of the node's limits
     kServing         // takes new connections and can serve them
   };
 
@@ -32,7 +32,7 @@
   std::size_t count_others(State state) const;
 
  private:
-  // Publishes kAlive in the first slot that no other process has. Whether there is one.
+  // Publishes kAlive in the first free slot. Returns whether there is one.
   bool take_slot(int file);
 
   int file_ = -1;
--- a/node/process/resource_limits.cpp
+++ b/node/process/resource_limits.cpp
@@ -7,11 +7,11 @@
 namespace asterdrift::node::process {
 namespace {
 
-// Sockets for the event loop, standard streams, discovery and the admin server, with headroom; and the least
-// of these where the node's processes share a small limit.
+// Descriptors for the event loop, standard streams, discovery and the admin server, with headroom; and the
+// minimum where the node's processes share a small limit.
 constexpr std::size_t kOtherSockets = 40, kMinOtherSockets = 20;
 constexpr std::size_t kMinAdminConnections = 2;
-constexpr std::size_t kBodyMemoryDivisor = 3;  // of the memory, bodies may take up a third
+constexpr std::size_t kBodyMemoryDivisor = 3;  // bodies may take up a third of the memory
 constexpr std::size_t kBytesPerMb = 1024UL * 1024;
 
 }  // namespace
--- a/node/process/resource_limits.h
+++ b/node/process/resource_limits.h
@@ -1,4 +1,4 @@
-// The part of the node's limits that one of its processes keeps to.
+// The fraction of the node's limits that applies to one of its processes.
 #pragma once
 
 #include <cstddef>
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -15,7 +15,7 @@
   return "app." + name + ":" + std::to_string(value) + "|" + kind + "\n";
 }
 
-// Replaces what the report's form gives a meaning to.
+// Replaces characters that have a meaning in the report.
 std::string reported_name(std::string name) {
   const auto is_reserved = [](unsigned char c) { return c <= ' ' || c == ':' || c == '|' || c == 0x7f; };
   std::replace_if(name.begin(), name.end(), is_reserved, '_');
--- a/node/telemetry/metrics.h
+++ b/node/telemetry/metrics.h
@@ -13,7 +13,7 @@
   struct Gauges {
     std::size_t pending = 0;              // requests without a complete response
     std::size_t members = 0;              // endpoints listed
-    std::size_t members_unavailable = 0;  // of these, not sent to now
+    std::size_t members_unavailable = 0;  // of the listed ones, not sent to now
   };
 
   // request_classes: their names, in the order of the settings.
@@ -25,7 +25,7 @@
   // An attempt's last byte has been written to a server.
   void count_attempt() { ++attempts_; }
 
-  // One figure a line, each class from the start.
+  // One metric a line. Every class is reported from the start.
   std::string report(const Gauges& gauges) const;
 
  private:
--- a/node/timing/clock.h
+++ b/node/timing/clock.h
@@ -9,9 +9,8 @@
 // The steady clock in seconds, as the balancer counts time.
 double now();
 
-// The time on that clock of a Unix time in milliseconds. 0 stays 0 (long ago). The offset between the clocks
-// is taken once: with a new one for each list the same start would get new times, and the balancer would take
-// each for a restart.
+// Converts a Unix time in milliseconds to that clock. 0 stays 0 (long ago). The offset between the clocks is
+// measured once: otherwise the same start time would change with each list, and look like a restart.
 double steady_time_of_unix_ms(double unix_ms);
 
 // For timers; negative durations count as 0.
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -1,4 +1,4 @@
-// An attempt at a server: the request that is forwarded, and what becomes of it.
+// An attempt at a server: the request that is forwarded, and its result.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,12 @@
 // A request as it is forwarded to a server. Shared by the attempts of one request.
 struct UpstreamRequest {
   std::string head;  // request line and headers, without Request-Timeout-Ms and the empty line
-  std::string body;  // all of it, or its begin
+  std::string body;  // complete, or its first bytes
   memory::MemoryReservation body_reservation;
-  std::shared_ptr<memory::BodyStream>
-      body_rest;               // what follows while the client still sends it; null: nothing
-  bool is_chunked = false;     // the length of the body is not known
-  bool rest_consumed = false;  // a part of the rest has gone out, and is not buffered
-  // Asked before bytes go out: whether the client still waits. May end the attempts of the request.
+  std::shared_ptr<memory::BodyStream> body_rest;  // the bytes that the client still sends; null: none
+  bool is_chunked = false;                        // the length of the body is not known
+  bool rest_consumed = false;                     // some of body_rest has been sent, and is not buffered
+  // Whether the client still awaits a response; called before bytes are sent. May end the request's attempts.
   std::function<bool()> is_awaited;
 };
 
@@ -34,12 +33,12 @@
   double sent_at = 0;  // when the request was complete, where its body took the client's time; else 0
 };
 
-// A successful response that is too large to be buffered, or too slow to be waited for: its body follows.
+// A successful response whose body is streamed, since it is too large or too slow to be buffered.
 struct StreamedResponse {
   std::string content_type;
   std::optional<std::uint64_t> content_length;
   std::shared_ptr<memory::BodyStream> body;
-  double sent_at = 0;  // as above
+  double sent_at = 0;  // see AttemptEnd
 };
 
 struct AttemptCallbacks {
--- a/node/upstream/attempt_timer.h
+++ b/node/upstream/attempt_timer.h
@@ -15,8 +15,8 @@
  public:
   explicit AttemptTimer(boost::asio::io_context& io) : timer_(io) {}
 
-  // timeout: from `began_at` to the complete response, or to the begin of one that is streamed. write_within:
-  // until the request is written completely.
+  // timeout: from `began_at` to the complete response, or to the first byte of one that is streamed.
+  // write_within: until the request is written completely.
   void begin(double began_at, double timeout, double write_within);
   // The timeout counts from `now` on.
   void restart_timeout(double now) { timeout_at_ = now + timeout_; }
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -72,11 +72,10 @@
   if (const auto connection = attempt.connection.lock()) connection->withdraw(attempt.serial);
 }
 
-// The most recently used, so that the others can expire. A request must not be written on a connection that
-// the server has closed or is about to close: one that is not idempotent would be lost. Where reused
-// connections break under their next request all the same, as when something on the way forgets them, that
-// request may have run: requests then go on one just used, or on a new one. That goes for idempotent ones
-// too: only few servers drop a duplicate, and those seldom have capacity.
+// Takes the most recently used connection, so that the others can expire. A request must not be written on a
+// connection that the server has closed or is about to close: if it is not idempotent, it cannot be retried.
+// After a stale connection, which a middlebox may have dropped, only connections that were used a moment ago
+// are reused for some time. This holds for idempotent requests too, since few servers detect duplicates.
 std::shared_ptr<Connection> ConnectionPool::take_idle(PooledEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
     std::shared_ptr<Connection> last = endpoint.idle.back();
@@ -89,7 +88,8 @@
   return nullptr;
 }
 
-// Whether another connection may be opened: the longest idle ones make room for it.
+// Returns whether another connection may be opened. Connections that have been idle longest are closed for
+// it.
 bool ConnectionPool::ensure_capacity() {
   while (open_connections_ >= max_connections_ && !idle_.empty()) close_oldest_idle();
   return open_connections_ < max_connections_;
@@ -106,7 +106,7 @@
 
 void ConnectionPool::on_reusable(const std::shared_ptr<Connection>& connection) {
   PooledEndpoint* known = find(connection->endpoint());
-  // One that was busy while another process took its server's place leads to the process before.
+  // The server has been replaced while the connection was busy: it leads to the previous process.
   if (known == nullptr || known->generation != connection->generation()) return connection->close();
   if (open_connections_ > max_connections_) return connection->close();
   connection->idle_position = idle_.insert(idle_.end(), connection);
@@ -165,8 +165,8 @@
 
 void ConnectionPool::apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& stopped) {
   PooledEndpoint& endpoint = endpoints_[listed.endpoint.address];
-  // Another process, or the same at another address: connections that are idle or being established are
-  // useless.
+  // Another process, or the same at another address: connections that are idle or being established are of
+  // no use.
   if (endpoint.address != listed.socket_address || endpoint.started_at != listed.endpoint.started_at) {
     close_idle(endpoint);
     add_connecting(endpoint.connecting, stopped);
@@ -177,7 +177,7 @@
   endpoint.last_list = lists_applied_;
 }
 
-// A request that still waits for its connection must not be written to a draining endpoint later.
+// A request that awaits its connection must not be written to an endpoint that is draining by then.
 void ConnectionPool::remove(Endpoints::iterator endpoint, std::vector<AttemptHandle>& stopped) {
   add_connecting(endpoint->second.connecting, stopped);
   close_idle(endpoint->second);
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -30,13 +30,13 @@
   // Ends an attempt unless it has ended.
   void stop(const AttemptHandle& attempt, balancer::Outcome outcome);
 
-  // Keeps an attempt from its server: ends it as not sent unless it has been written completely, or is being
-  // answered.
+  // Ends an attempt as not sent unless it has been written completely, or its response has begun.
   void withdraw(const AttemptHandle& attempt);
 
   // Applies a snapshot or changes. The cost is that of the endpoints in the list, for a snapshot also that of
-  // the endpoints from before. Endpoints that are draining or removed get nothing more: returns the attempts
-  // that still wait for a connection to one, or to where one was before, which are to be stopped as not sent.
+  // the endpoints from before. No more attempts start at endpoints that are draining or removed. Returns the
+  // attempts that await a connection to such an endpoint, or to an endpoint's previous address; the caller
+  // stops them as not sent.
   std::vector<AttemptHandle> apply(const config::EndpointList& list);
 
   // Idle connections beyond the limit are closed.
@@ -45,10 +45,10 @@
   std::size_t endpoints() const { return endpoints_.size(); }  // that may be sent to
 
  private:
-  // There may be tens of thousands, few of which are ever called: until then one holds no other memory.
+  // There may be tens of thousands, of which few are ever used: an unused one allocates no other memory.
   struct PooledEndpoint {
     boost::asio::ip::tcp::endpoint address;
-    std::uint32_t last_list = 0;  // the list that named it last, see lists_applied_
+    std::uint32_t last_list = 0;  // the last list with this endpoint, by lists_applied_
     double started_at = 0;
     std::uint64_t generation = 0;                   // new with each process or address
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used at the back
@@ -75,7 +75,7 @@
   const double max_idle_time_;  // s
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
-  double avoid_idle_until_ = 0;  // reused connections have broken under their next request lately
+  double avoid_idle_until_ = 0;  // after a stale connection
   std::uint64_t last_serial_ = 0, last_generation_ = 0;
   std::uint32_t lists_applied_ = 0;
   Endpoints endpoints_;
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -13,7 +13,7 @@
   owned_ = request_->head;
   owned_ += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n\r\n";
   borrowed_ = request_->body;
-  if (request_->is_chunked) {  // the begin of the body is its first chunk
+  if (request_->is_chunked) {  // the buffered bytes are the first chunk
     owned_ += http::chunk_of(request_->body);
     borrowed_ = {};
   }
@@ -40,7 +40,7 @@
     return Next::kComplete;
   }
   if (rest->is_empty() && !rest->is_finished()) return Next::kWait;
-  // The server must not begin a request that it does not get complete.
+  // The server must not execute an incomplete request.
   if (rest->is_empty() && !rest->is_complete()) return Next::kTruncated;
   is_last_piece_ = rest->is_empty();
   borrowed_ = {};
--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_writer.h
@@ -16,26 +16,26 @@
  public:
   enum class Next {
     kPiece,      // there are more bytes to write
-    kWait,       // the client has not sent more yet
-    kTruncated,  // the client has broken off
+    kWait,       // for more bytes from the client
+    kTruncated,  // the client has not sent the complete body
     kComplete    // all has been written
   };
 
-  // Begins with the head. timeout_ms: what the server is told in Request-Timeout-Ms.
+  // Begins with the head. timeout_ms: the value of Request-Timeout-Ms.
   void begin(std::shared_ptr<UpstreamRequest> request, std::int64_t timeout_ms);
   void reset();
 
-  // The rest of the current piece.
+  // The bytes of the current piece that have not been written.
   std::array<boost::asio::const_buffer, 2> buffers() const;
   bool piece_is_written() const { return written_ >= owned_.size() + borrowed_.size(); }
   void advance(std::size_t bytes) { written_ += bytes; }
 
-  // After a piece has been written. The first piece of the request's rest marks the rest as consumed.
+  // After a piece has been written. The first piece of body_rest marks it as consumed.
   Next next();
 
  private:
   std::shared_ptr<UpstreamRequest> request_;
-  std::string owned_;          // bytes of this piece that the writer holds
+  std::string owned_;          // bytes of this piece that the writer owns
   std::string_view borrowed_;  // and the buffered body of the request behind them
   std::size_t written_ = 0;    // of both
   bool is_last_piece_ = false;
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -18,7 +18,7 @@
 
 ResponseParser::ResponseParser() { begin_message(); }
 
-// Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit.
+// Not eager: an eager parser of Beast 1.74 continues after a head whose body is over the limit.
 void ResponseParser::begin_message() {
   parser_.emplace();
   parser_->body_limit(memory::kMaxBodyBytes);
@@ -78,7 +78,7 @@
   return status >= 100 && status < 200 && status != 101;
 }
 
-// Whether a head leaves no doubt where its response ends.
+// Whether the head defines the end of the response unambiguously.
 bool ResponseParser::has_unambiguous_length() const {
   const auto& head = parser_->get();
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
@@ -86,7 +86,7 @@
   return encodings == 0 || boost::beast::iequals(head[beast_http::field::transfer_encoding], "chunked");
 }
 
-// Only the two statuses with the server's word for it prove that a request never ran.
+// Only these two statuses with the server's Not-Started header prove that a request never ran.
 Outcome ResponseParser::outcome() const {
   const auto& response = parser_->get();
   const unsigned status = response.result_int();
--- a/node/upstream/response_parser.h
+++ b/node/upstream/response_parser.h
@@ -15,17 +15,17 @@
 namespace asterdrift::node::upstream {
 
 // Skips interim responses (1xx). A response whose head is too long, or whose length is ambiguous or too
-// large, is invalid: it may be an answer to a request that has run, and its connection is of no further use.
+// large, is invalid: its request may have run, and its connection cannot be reused.
 class ResponseParser {
  public:
   enum class Result { kIncomplete, kComplete, kInvalid };
 
   ResponseParser();
 
-  // on_body is called when the head of the final response, or a part of its body, has been parsed.
+  // on_body is called when the head of the final response, or bytes of its body, have been parsed.
   Result parse(std::string_view bytes, const std::function<void()>& on_body);
 
-  // Whether the response is complete now that the connection has been closed in good order, which ends a
+  // Whether the response is complete now that the server has shut the connection down, which ends a
   // response with neither a length nor chunks.
   bool finish_at_close();
 
@@ -34,7 +34,7 @@
   std::string content_type() const;
   std::optional<std::uint64_t> content_length() const;
   balancer::Outcome outcome() const;
-  // The part of the body that has been parsed; the caller may take it away.
+  // The bytes of the body that have been parsed; the caller may move them.
   std::string& body() { return parser_->get().body(); }
   bool is_done() const { return parser_->is_done(); }
   // After a complete response: whether the connection may carry another request.
--- a/node/upstream/response_receiver.h
+++ b/node/upstream/response_receiver.h
@@ -17,7 +17,7 @@
 // Bodies of error responses are discarded.
 class ResponseReceiver {
  public:
-  // What the body received so far calls for.
+  // How the body is to be received.
   enum class BodyState {
     kBuffered,
     kUnknownLength,  // may be long or slow: to be buffered for a limited time
@@ -32,7 +32,7 @@
   // Discards the response.
   void reset();
 
-  // on_body is called when a part of the body has been parsed; it calls receive_body().
+  // on_body is called when bytes of the body have been parsed; it calls receive_body().
   ResponseParser::Result parse(std::string_view bytes, const std::function<void()>& on_body) {
     return parser_->parse(bytes, on_body);
   }
@@ -42,8 +42,7 @@
   bool is_keep_alive() const { return parser_->is_keep_alive(); }
   balancer::Outcome outcome() const { return parser_->outcome(); }
 
-  // The body that has been buffered, and what follows, goes into a stream from now on. sent_at: see
-  // AttemptEnd.
+  // Moves the buffered body into a stream, as all bytes that follow. sent_at: see AttemptEnd.
   StreamedResponse start_streaming(double sent_at, memory::BodyStream::Callback on_writable);
   bool is_streaming() const { return stream_ != nullptr; }
   // Whether no more can be received until the client has taken some of the stream.
