--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -1,6 +1,5 @@
 #include "node/process/node.h"
 
-#include <algorithm>
 #include <chrono>
 #include <csignal>
 #include <cstdlib>
@@ -21,25 +20,6 @@
 constexpr auto kProcessGroupPeriod = std::chrono::milliseconds(100);
 constexpr double kShareTimeout = 1.5;  // s that a new process waits for the others to split the limits
 
-// After SIGTERM, new connections still come for up to 0.4 s, and SIGKILL no sooner than the longest deadline
-// (3 s at most) and 0.7 s after it.
-constexpr auto kDrainPeriod = std::chrono::milliseconds(20);
-constexpr double kAcceptTime = 0.55;   // s in which new connections are accepted
-constexpr double kCloseTime = 0.1;     // s after kAcceptTime, before a node without connections ends
-constexpr double kMaxDeadline = 3;     // s
-constexpr double kHandOverTime = 1.2;  // s before the longest deadline; clients are sent to other nodes then
-constexpr double kHandOverTimeAlone = 0.1;    // s before the final responses, where there is no other node
-constexpr double kFinalResponseDelay = 0.45;  // s after the longest deadline; open requests are ended then
-constexpr double kWriteTime = 0.1;            // s after the final responses, for writing them
-
-double max_deadline(const balancer::Settings& settings) {
-  double longest = 0;
-  for (const balancer::RequestClass& request_class : settings.classes) {
-    longest = std::max(longest, request_class.timeout);
-  }
-  return std::min(longest, kMaxDeadline);
-}
-
 }  // namespace
 
 Node::Node(const config::NodeConfig& config)
@@ -48,8 +28,6 @@
       process_group_(std::getenv("TMPDIR"), config.listen_address),
       limits_(config, 1 + process_group_.count_others(State::kAlive)),
       started_at_(now()),
-      final_response_time_(max_deadline(config.settings) + kFinalResponseDelay),
-      is_only_replica_(config.settings.replica_count == 1),
       discovery_(io_, config,
                  {[this](const config::EndpointList& list) { dispatcher_.apply(list); },
                   [this] { dispatcher_.handle_watch_failure(); }}),
@@ -61,8 +39,8 @@
               process_group_.is_visible()),
       shutdown_signals_(io_, SIGTERM, SIGINT),
       reload_signal_(io_, SIGHUP),
-      drain_timer_(io_),
-      process_group_timer_(io_) {
+      process_group_timer_(io_),
+      graceful_shutdown_(io_, config.settings, process_group_, server_, dispatcher_) {
   if (config.admin_address) open_admin_server(*config.admin_address);
 }
 
@@ -97,7 +75,7 @@
 
 void Node::await_shutdown() {
   shutdown_signals_.async_wait([this](const error_code& error, int) {
-    if (!error) begin_drain();
+    if (!error) graceful_shutdown_.begin();
   });
 }
 
@@ -131,7 +109,7 @@
     try {
       listen();
     } catch (const boost::system::system_error& error) {
-      listen_error_ = ListenError(error.what());
+      listen_error_ = ListenError(config_.listen_address, error.what());
       return io_.stop();
     }
   }
@@ -143,7 +121,7 @@
 }
 
 bool Node::may_listen(std::size_t others) const {
-  if (server_.is_listening() || is_draining()) return false;
+  if (server_.is_listening() || graceful_shutdown_.has_begun()) return false;
   const bool limits_are_shared = process_group_.count_others(State::kSharingLimits) >= others;
   const bool waited = now() - started_at_ >= kShareTimeout;
   return others == 0 || (dispatcher_.is_ready() && (limits_are_shared || waited));
@@ -165,50 +143,4 @@
   return metrics_.report({server_.pending(), endpoints.listed, endpoints.unavailable});
 }
 
-void Node::begin_drain() {
-  log_line("draining");
-  drain_began_ = now();
-  server_.begin_drain();
-  process_group_.publish(State::kServing, false);
-  continue_drain();
-}
-
-void Node::continue_drain() {
-  const double since = now() - drain_began_;
-  // Another process of this node serves: it accepts new connections, and clients connect to it after their
-  // next response. Idle connections stay open for now: the new process has not measured its endpoints yet,
-  // and would reject more requests if all clients came at once.
-  const bool is_replaced = process_group_.count_others(State::kServing) > 0;
-  if (is_replaced) server_.close_after_responses();
-  if (is_replaced || since >= kAcceptTime) {
-    if (is_accepting_) server_.stop_accepting();
-    is_accepting_ = false;
-  }
-  // Without another node, clients whose connections were closed early would have no service for seconds in
-  // which this node can still serve.
-  const double hand_over_time = is_only_replica_ && !is_replaced
-                                    ? final_response_time_ - kHandOverTimeAlone
-                                    : final_response_time_ - kFinalResponseDelay - kHandOverTime;
-  if (since >= std::max(kAcceptTime, hand_over_time)) server_.close_idle();
-  if (since >= final_response_time_) {
-    dispatcher_.expire_all();
-    server_.reject_partial_requests();
-  }
-  if (is_drained(since, is_replaced)) {
-    log_line("drained");
-    return io_.stop();
-  }
-  drain_timer_.expires_after(kDrainPeriod);
-  drain_timer_.async_wait([this](const error_code& error) {
-    if (!error) continue_drain();
-  });
-}
-
-// A large response may take longer than any deadline, and is not truncated while this process is not killed.
-bool Node::is_drained(double since, bool is_replaced) const {
-  const bool is_closed = !is_accepting_ && server_.connections() == 0;
-  if (is_closed && (is_replaced || since >= kAcceptTime + kCloseTime)) return true;
-  return since >= final_response_time_ + kWriteTime && server_.busy_connections() == 0;
-}
-
 }  // namespace asterdrift::node::process
--- a/node/process/node.h
+++ b/node/process/node.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
@@ -15,6 +16,8 @@
 #include "node/dispatch/request_dispatcher.h"
 #include "node/downstream/server.h"
 #include "node/memory/memory_budget.h"
+#include "node/net/address.h"
+#include "node/process/graceful_shutdown.h"
 #include "node/process/process_group.h"
 #include "node/process/resource_limits.h"
 #include "node/telemetry/metrics.h"
@@ -24,7 +27,8 @@
 // The address could be bound, but not be listened on.
 class ListenError : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  ListenError(const boost::asio::ip::tcp::endpoint& address, const std::string& reason)
+      : std::runtime_error(net::to_text(address) + ": " + reason) {}
 };
 
 class Node {
@@ -48,12 +52,6 @@
   bool may_listen(std::size_t others) const;
   void apply_limits(const ResourceLimits& limits);
 
-  // Graceful shutdown.
-  void begin_drain();
-  void continue_drain();
-  bool is_draining() const { return drain_began_ > 0; }
-  bool is_drained(double since, bool is_replaced) const;
-
   std::string metrics_report() const;
 
   boost::asio::io_context io_;
@@ -61,8 +59,6 @@
   ProcessGroup process_group_;
   ResourceLimits limits_;
   const double started_at_;
-  const double final_response_time_;  // s after SIGTERM; open requests are ended then
-  const bool is_only_replica_;        // of its tier
   discovery::DiscoveryClient discovery_;
   memory::MemoryBudget body_budget_;
   telemetry::Metrics metrics_;
@@ -70,9 +66,8 @@
   downstream::Server server_;
   std::optional<admin::AdminServer> admin_server_;
   boost::asio::signal_set shutdown_signals_, reload_signal_;
-  boost::asio::steady_timer drain_timer_, process_group_timer_;
-  double drain_began_ = 0;
-  bool is_accepting_ = true;
+  boost::asio::steady_timer process_group_timer_;
+  GracefulShutdown graceful_shutdown_;
   std::optional<ListenError> listen_error_;
 };
 
