--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "node/http/response.h"
+#include "node/http/status.h"
 #include "node/net/address.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
@@ -99,9 +100,9 @@
   head_bytes_ += used;
   // Beast's own limit does not count complete lines.
   const bool is_too_long = head_bytes_ + input_.size() > kMaxHeadBytes;
-  if (is_too_long || error == beast_http::error::header_limit) return respond(431);
+  if (is_too_long || error == beast_http::error::header_limit) return respond(http::kHeaderFieldsTooLarge);
   if (parser_.is_header_done()) return handle_request();
-  if (error && error != beast_http::error::need_more) return respond(400);
+  if (error && error != beast_http::error::need_more) return respond(http::kBadRequest);
   wait_readable();
 }
 
@@ -109,10 +110,10 @@
   const auto& head = parser_.get();
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
-  if (path != "/ready" && path != "/metrics") return respond(404);
-  if (head.method() != beast_http::verb::get) return respond(405, {}, "Allow: GET\r\n");
-  if (path == "/ready") return respond(callbacks_.is_ready() ? 200 : 503);
-  respond(200, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
+  if (path != "/ready" && path != "/metrics") return respond(http::kNotFound);
+  if (head.method() != beast_http::verb::get) return respond(http::kMethodNotAllowed, {}, "Allow: GET\r\n");
+  if (path == "/ready") return respond(callbacks_.is_ready() ? http::kOk : http::kServiceUnavailable);
+  respond(http::kOk, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
 }
 
 void AdminConnection::respond(unsigned status, const std::string& body, const std::string& headers) {
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -17,6 +17,7 @@
   std::function<std::string()> metrics_report;
 };
 
+// Reads one request, responds, and closes.
 class AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
   // callbacks have to outlive the connection. on_closed is called once.
--- a/node/config/endpoint_list.h
+++ b/node/config/endpoint_list.h
@@ -23,14 +23,16 @@
   using std::runtime_error::runtime_error;
 };
 
+// One entry of a list.
 struct ListedEndpoint {
   balancer::Endpoint endpoint;                    // its address is a name that is the same at every node
   boost::asio::ip::tcp::endpoint socket_address;  // none for one that has been removed
 };
 
+// All endpoints, or those that have changed since an earlier version.
 struct EndpointList {
   std::uint64_t version = 0;
-  bool is_snapshot = false;  // all endpoints, or only those that changed
+  bool is_snapshot = false;  // else only the endpoints that have changed
   std::vector<ListedEndpoint> endpoints;
 };
 
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -50,13 +50,12 @@
     return Event::kNothing;
   }
   if (c == '\n' && !is_inside_list()) return Event::kEmptyLine;
-  const bool between_entries = is_between_entries();
   if (is_space(c)) {
-    if (is_inside_list() && !between_entries) buffer(' ');
+    if (is_inside_list() && !is_between_entries()) buffer(' ');
     return Event::kNothing;
   }
   if (!is_inside_list() && c != '{') throw EndpointListError("not a list");
-  if (between_entries) {
+  if (is_between_entries()) {
     read_between_entries(c);
     if (c == ',') return Event::kNothing;
   }
@@ -65,16 +64,19 @@
     return Event::kNothing;
   }
   if (c == '}' || c == ']') return close_bracket(c);
-  if (closers_.size() == kListDepth) {
-    if (c == '"') key_position_ = fields_.size();
-    if (c == ':') hosts_next_ = key_is_hosts();
-    if (c == ',') hosts_next_ = false;
-  }
+  if (closers_.size() == kListDepth) read_between_fields(c);
   in_string_ = c == '"';
   buffer(c);
   return Event::kNothing;
 }
 
+// Finds the key of the entries among the list's fields.
+void EndpointListReader::read_between_fields(char c) {
+  if (c == '"') key_position_ = fields_.size();
+  if (c == ':') hosts_next_ = key_is_hosts();
+  if (c == ',') hosts_next_ = false;
+}
+
 void EndpointListReader::read_in_string(char c) {
   if (c == '\n') throw EndpointListError("a line ends within a string");
   in_string_ = escaped_ || c != '"';
--- a/node/config/endpoint_list_reader.h
+++ b/node/config/endpoint_list_reader.h
@@ -39,6 +39,7 @@
   Event read_character(char c);
   void read_in_string(char c);
   void read_between_entries(char c);
+  void read_between_fields(char c);
   void open_bracket(char c);
   Event close_bracket(char c);
   void buffer(char c);
--- a/node/config/node_config.h
+++ b/node/config/node_config.h
@@ -19,6 +19,7 @@
   using std::runtime_error::runtime_error;
 };
 
+// The fields of the configuration file, and the settings of the balancer.
 struct NodeConfig {
   std::string name;
   boost::asio::ip::tcp::endpoint listen_address, discovery_address;
--- a/node/discovery/endpoint_watch.h
+++ b/node/discovery/endpoint_watch.h
@@ -33,6 +33,7 @@
   bool is_first_snapshot = false;  // the watch requested a snapshot and had no list yet
 };
 
+// Ends with the first error: a timeout, a broken stream, or a list that is not valid.
 class EndpointWatch : public std::enable_shared_from_this<EndpointWatch> {
  public:
   struct Options {
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "asterdrift/balancer/events.h"
+#include "node/http/status.h"
 #include "node/memory/body_stream.h"
 #include "node/memory/memory_budget.h"
 #include "node/upstream/attempt.h"
@@ -27,7 +28,7 @@
 
 // The final response.
 struct Response {
-  unsigned status = 500;
+  unsigned status = http::kInternalServerError;
   double retry_after = 0;  // s; 0: no header
   std::string body = {}, content_type = {};
   memory::MemoryReservation body_reservation = {};
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -17,6 +17,8 @@
 
 namespace asterdrift::node::downstream {
 
+// Handles one request at a time; bytes of the next one are buffered meanwhile. Owned by the server's lists
+// and by pending operations on its socket.
 class Connection : public std::enable_shared_from_this<Connection>, private ResponseSenderOwner {
  public:
   // server has to outlive the connection.
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -13,6 +13,7 @@
 
 namespace asterdrift::node::downstream {
 
+// Parses one request, in any number of pieces. The caller moves its body out as it is parsed.
 class RequestParser {
  public:
   using Head = boost::beast::http::header<true, boost::beast::http::fields>;
--- a/node/downstream/request_validator.h
+++ b/node/downstream/request_validator.h
@@ -13,6 +13,7 @@
 
 namespace asterdrift::node::downstream {
 
+// Knows the names of classes and tenants in the configuration.
 class RequestValidator {
  public:
   explicit RequestValidator(const config::NodeConfig& config);
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -11,6 +11,7 @@
 
 namespace asterdrift::node::downstream {
 
+// Yields the bytes of one response after the other, each in pieces.
 class ResponseWriter {
  public:
   enum class Next {
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -10,6 +10,7 @@
 
 namespace asterdrift::node::downstream {
 
+// Owns the listening socket and, by state, all connections.
 class Server {
  public:
   // Binds the address. A shared one may be bound by other processes of this node too. Throws
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -45,7 +45,11 @@
   ConnectionList fresh, idle, reading, uploading, writing, closing;
 };
 
+// What the server and its connections know of each other.
 struct ServerState {
+  // An eighth of the connections is reserved for clients that do not await a response.
+  static constexpr std::size_t kReservedConnectionsDivisor = 8;
+
   ServerState(boost::asio::io_context& io, const config::NodeConfig& config,
               dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
               telemetry::Metrics& metrics, std::size_t max_connections, std::function<void()> on_closed)
@@ -60,7 +64,9 @@
   // Whether this process can serve, as /healthz and /ready report.
   bool is_ready() const { return dispatcher.is_ready() && is_listening && !is_draining; }
   // Whether so many connections await responses that further requests are rejected.
-  bool is_overloaded() const { return busy_connections > max_connections - max_connections / 8; }
+  bool is_overloaded() const {
+    return busy_connections > max_connections - max_connections / kReservedConnectionsDivisor;
+  }
   bool has_too_many_connections() const { return connections > max_connections; }
   // Throws RequestError where a request with this client's id is in flight: a second one might run twice, or
   // its response might go to the wrong client.
--- a/node/http/status.h
+++ b/node/http/status.h
@@ -3,6 +3,8 @@
 
 namespace asterdrift::node::http {
 
+constexpr unsigned kContinue = 100;
+constexpr unsigned kSwitchingProtocols = 101;
 constexpr unsigned kOk = 200;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
@@ -12,6 +14,7 @@
 constexpr unsigned kUriTooLong = 414;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kHeaderFieldsTooLarge = 431;
+constexpr unsigned kInternalServerError = 500;
 constexpr unsigned kBadGateway = 502;
 constexpr unsigned kServiceUnavailable = 503;
 constexpr unsigned kGatewayTimeout = 504;
--- a/node/memory/memory_budget.h
+++ b/node/memory/memory_budget.h
@@ -6,6 +6,7 @@
 
 namespace asterdrift::node::memory {
 
+// A number of bytes that MemoryReservation takes from.
 class MemoryBudget {
  public:
   explicit MemoryBudget(std::size_t bytes) : size_(bytes) {}
--- a/node/process/node.h
+++ b/node/process/node.h
@@ -31,6 +31,7 @@
       : std::runtime_error(net::to_text(address) + ": " + reason) {}
 };
 
+// Serves clients and operators from one thread.
 class Node {
  public:
   // Binds the addresses. Throws boost::system::system_error where they are not available, and
--- a/node/process/resource_limits.h
+++ b/node/process/resource_limits.h
@@ -7,6 +7,7 @@
 
 namespace asterdrift::node::process {
 
+// Divides the configured sockets and memory among the processes, and among their uses.
 struct ResourceLimits {
   // processes: how many share the node's limits, this one included.
   ResourceLimits(const config::NodeConfig& config, std::size_t processes);
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -41,6 +41,7 @@
   double sent_at = 0;  // see AttemptEnd
 };
 
+// How an attempt reports to the dispatcher.
 struct AttemptCallbacks {
   std::function<void(AttemptEnd&&)> on_end;  // exactly once
   std::function<void(StreamedResponse&&)> on_response_started;
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -18,6 +18,8 @@
 // s; a connection that has been idle for less is rarely stale.
 constexpr double kFreshIdleTime = 0.1;
 
+// Carries one attempt at a time. Owned by its pool while it is idle or being established, and by pending
+// operations on its socket.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using List = std::list<std::shared_ptr<Connection>>;
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -17,6 +17,7 @@
 
 namespace asterdrift::node::upstream {
 
+// Limits the connections to all endpoints together, and closes those that have been idle for long.
 class ConnectionPool : private ConnectionOwner {
  public:
   ConnectionPool(boost::asio::io_context& io, const config::NodeConfig& config,
--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_writer.h
@@ -12,6 +12,7 @@
 
 namespace asterdrift::node::upstream {
 
+// Yields the head, the buffered body, and then what follows of a body that the client still sends.
 class RequestWriter {
  public:
   enum class Next {
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -2,6 +2,7 @@
 
 #include <boost/asio/buffer.hpp>
 
+#include "node/http/status.h"
 #include "node/memory/body_stream.h"
 
 namespace asterdrift::node::upstream {
@@ -75,7 +76,7 @@
 
 bool ResponseParser::is_interim() const {
   const unsigned status = parser_->get().result_int();
-  return status >= 100 && status < 200 && status != 101;
+  return status >= http::kContinue && status < http::kOk && status != http::kSwitchingProtocols;
 }
 
 // Whether the head defines the end of the response unambiguously.
@@ -90,9 +91,10 @@
 Outcome ResponseParser::outcome() const {
   const auto& response = parser_->get();
   const unsigned status = response.result_int();
-  if (status == 200) return Outcome::kSuccess;
-  if ((status == 503 || status == 504) && response["Not-Started"] == "1") return Outcome::kRejected;
-  return status >= 500 ? Outcome::kServerError : Outcome::kUnknown;
+  if (status == http::kOk) return Outcome::kSuccess;
+  const bool may_prove = status == http::kServiceUnavailable || status == http::kGatewayTimeout;
+  if (may_prove && response["Not-Started"] == "1") return Outcome::kRejected;
+  return status >= http::kInternalServerError ? Outcome::kServerError : Outcome::kUnknown;
 }
 
 }  // namespace asterdrift::node::upstream
