--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "node/http/response.h"
+#include "node/http/status.h"
 #include "node/net/address.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
@@ -24,14 +25,14 @@
 constexpr std::size_t kMaxHeadBytes = 8UL * 1024;
 constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;  // after the response
 constexpr std::size_t kReadSize = 4096;                  // bytes
-constexpr double kRequestTimeout = 2.2;  // s for a call, and as long again to take its response
+constexpr double kRequestTimeout = 2.2;  // s for a request, and as long again to take its response
 constexpr double kCloseTimeout = 1;      // s for a peer to close after its response
 
 }  // namespace
 
 AdminConnection::AdminConnection(const AdminCallbacks& callbacks, tcp::socket socket)
     : callbacks_(callbacks), socket_(std::move(socket)), state_since_(now()) {
-  // A body is not read. Without any limit Beast 1.74 takes every Content-Length for too long.
+  // The body is not read. Without a limit Beast 1.74 rejects every Content-Length as too large.
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
@@ -67,7 +68,7 @@
   });
 }
 
-// What goes wrong here, be it memory, ends this connection alone.
+// An exception, such as one for lack of memory, ends this connection alone.
 void AdminConnection::read() {
   try {
     read_available();
@@ -99,9 +100,9 @@
   head_bytes_ += used;
   // Beast's own limit does not count complete lines.
   const bool is_too_long = head_bytes_ + input_.size() > kMaxHeadBytes;
-  if (is_too_long || error == beast_http::error::header_limit) return respond(431);
+  if (is_too_long || error == beast_http::error::header_limit) return respond(http::kHeaderFieldsTooLarge);
   if (parser_.is_header_done()) return handle_request();
-  if (error && error != beast_http::error::need_more) return respond(400);
+  if (error && error != beast_http::error::need_more) return respond(http::kBadRequest);
   wait_readable();
 }
 
@@ -109,10 +110,10 @@
   const auto& head = parser_.get();
   const std::string_view target(head.target().data(), head.target().size());
   const std::string_view path = target.substr(0, target.find('?'));
-  if (path != "/ready" && path != "/metrics") return respond(404);
-  if (head.method() != beast_http::verb::get) return respond(405, {}, "Allow: GET\r\n");
-  if (path == "/ready") return respond(callbacks_.is_ready() ? 200 : 503);
-  respond(200, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
+  if (path != "/ready" && path != "/metrics") return respond(http::kNotFound);
+  if (head.method() != beast_http::verb::get) return respond(http::kMethodNotAllowed, {}, "Allow: GET\r\n");
+  if (path == "/ready") return respond(callbacks_.is_ready() ? http::kOk : http::kServiceUnavailable);
+  respond(http::kOk, callbacks_.metrics_report(), "Content-Type: text/plain\r\n");
 }
 
 void AdminConnection::respond(unsigned status, const std::string& body, const std::string& headers) {
@@ -128,7 +129,7 @@
                     });
 }
 
-// Closing over unread bytes would reset the connection and might take the response along.
+// Closing a socket with unread bytes resets the connection, and the peer may lose the response.
 void AdminConnection::begin_closing() {
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
--- a/node/config/endpoint_list.h
+++ b/node/config/endpoint_list.h
@@ -17,26 +17,28 @@
 
 namespace asterdrift::node::config {
 
-// A list that is not valid, or not one that this node can hold.
+// A list that is not valid, or too large for this node's memory.
 class EndpointListError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// One entry of a list.
 struct ListedEndpoint {
   balancer::Endpoint endpoint;                    // its address is a name that is the same at every node
   boost::asio::ip::tcp::endpoint socket_address;  // none for one that has been removed
 };
 
+// All endpoints, or those that have changed since an earlier version.
 struct EndpointList {
   std::uint64_t version = 0;
-  bool is_snapshot = false;  // all endpoints, or only those that changed
+  bool is_snapshot = false;  // else only the endpoints that have changed
   std::vector<ListedEndpoint> endpoints;
 };
 
 constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
 
-// zones: their names in the order of the settings. max_endpoints: a longer list is refused.
+// zones: their names in the order of the settings. max_endpoints: a longer list is rejected.
 // Throws EndpointListError.
 EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
                                 std::size_t max_endpoints = kNoLimit);
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -9,11 +9,11 @@
 namespace asterdrift::node::config {
 namespace {
 
-// Bytes of text that are buffered: of one entry, or of all fields that are no entries.
+// Buffered text of one entry, or of all fields except the entries.
 constexpr std::size_t kMaxBufferedTextBytes = 256UL * 1024;
-constexpr std::size_t kEntryParserBytes = 4096;  // bytes on the stack; the usual entry needs no more
+constexpr std::size_t kEntryParserBytes = 4096;  // on the stack; enough for ordinary entries
 
-// How many brackets are open in the list itself, between the entries, and in one.
+// The number of open brackets in the list itself, between its entries, and in an entry.
 constexpr std::size_t kListDepth = 1, kEntriesDepth = 2, kEntryDepth = 3;
 
 bool is_space(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
@@ -22,7 +22,7 @@
 
 EndpointListReader::Progress EndpointListReader::feed(std::string_view bytes) {
   for (std::size_t at = 0; at < bytes.size(); ++at) {
-    if (in_string_ && !escaped_) {  // all up to what has a meaning in a string
+    if (in_string_ && !escaped_) {  // up to the next character with a meaning in a string
       const std::size_t end = std::min(bytes.find_first_of("\"\\\n", at), bytes.size());
       buffer(bytes.substr(at, end - at));
       at = end;
@@ -50,13 +50,12 @@
     return Event::kNothing;
   }
   if (c == '\n' && !is_inside_list()) return Event::kEmptyLine;
-  const bool between_entries = is_between_entries();
   if (is_space(c)) {
-    if (is_inside_list() && !between_entries) buffer(' ');
+    if (is_inside_list() && !is_between_entries()) buffer(' ');
     return Event::kNothing;
   }
   if (!is_inside_list() && c != '{') throw EndpointListError("not a list");
-  if (between_entries) {
+  if (is_between_entries()) {
     read_between_entries(c);
     if (c == ',') return Event::kNothing;
   }
@@ -65,16 +64,19 @@
     return Event::kNothing;
   }
   if (c == '}' || c == ']') return close_bracket(c);
-  if (closers_.size() == kListDepth) {
-    if (c == '"') key_position_ = fields_.size();
-    if (c == ':') hosts_next_ = key_is_hosts();
-    if (c == ',') hosts_next_ = false;
-  }
+  if (closers_.size() == kListDepth) read_between_fields(c);
   in_string_ = c == '"';
   buffer(c);
   return Event::kNothing;
 }
 
+// Finds the key of the entries among the list's fields.
+void EndpointListReader::read_between_fields(char c) {
+  if (c == '"') key_position_ = fields_.size();
+  if (c == ':') hosts_next_ = key_is_hosts();
+  if (c == ',') hosts_next_ = false;
+}
+
 void EndpointListReader::read_in_string(char c) {
   if (c == '\n') throw EndpointListError("a line ends within a string");
   in_string_ = escaped_ || c != '"';
@@ -82,7 +84,7 @@
   buffer(c);
 }
 
-// What separates the entries is not buffered, so that it is checked here.
+// The separators of entries are not buffered, and are therefore checked here.
 void EndpointListReader::read_between_entries(char c) {
   const bool valid = c == ',' ? after_entry_ : c == '{' ? !after_entry_ : c == ']' && !after_comma_;
   if (!valid) throw EndpointListError("field 'hosts' is not an array of objects");
@@ -110,7 +112,7 @@
   return Event::kList;
 }
 
-// Outside of strings, one space says as much as many.
+// Outside of strings, consecutive spaces are reduced to one.
 void EndpointListReader::buffer(char c) {
   const std::string& to = current_buffer();
   if (c == ' ' && !in_string_ && !to.empty() && to.back() == ' ') return;
--- a/node/process/node.h
+++ b/node/process/node.h
@@ -1,7 +1,8 @@
-// The node's process: owns all parts, and leads them from start to replacement.
+// One process of the node: owns its components, and controls start, reload, replacement and shutdown.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
@@ -15,18 +16,22 @@
 #include "node/dispatch/request_dispatcher.h"
 #include "node/downstream/server.h"
 #include "node/memory/memory_budget.h"
+#include "node/net/address.h"
+#include "node/process/graceful_shutdown.h"
 #include "node/process/process_group.h"
 #include "node/process/resource_limits.h"
 #include "node/telemetry/metrics.h"
 
 namespace asterdrift::node::process {
 
-// The address cannot be listened on, after all.
+// The address could be bound, but not be listened on.
 class ListenError : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  ListenError(const boost::asio::ip::tcp::endpoint& address, const std::string& reason)
+      : std::runtime_error(net::to_text(address) + ": " + reason) {}
 };
 
+// Serves clients and operators from one thread.
 class Node {
  public:
   // Binds the addresses. Throws boost::system::system_error where they are not available, and
@@ -43,17 +48,11 @@
   void open_admin_server(const boost::asio::ip::tcp::endpoint& address);
   void listen();
 
-  // Replacement: beside other processes of this node.
+  // Replacement, next to other processes of this node.
   void check_process_group();
   bool may_listen(std::size_t others) const;
   void apply_limits(const ResourceLimits& limits);
 
-  // Graceful shutdown.
-  void begin_drain();
-  void continue_drain();
-  bool is_draining() const { return drain_began_ > 0; }
-  bool is_drained(double since, bool is_replaced) const;
-
   std::string metrics_report() const;
 
   boost::asio::io_context io_;
@@ -61,8 +60,6 @@
   ProcessGroup process_group_;
   ResourceLimits limits_;
   const double started_at_;
-  const double final_response_time_;  // s after SIGTERM; what is open then is answered
-  const bool is_only_replica_;        // of its tier
   discovery::DiscoveryClient discovery_;
   memory::MemoryBudget body_budget_;
   telemetry::Metrics metrics_;
@@ -70,9 +67,8 @@
   downstream::Server server_;
   std::optional<admin::AdminServer> admin_server_;
   boost::asio::signal_set shutdown_signals_, reload_signal_;
-  boost::asio::steady_timer drain_timer_, process_group_timer_;
-  double drain_began_ = 0;
-  bool is_accepting_ = true;
+  boost::asio::steady_timer process_group_timer_;
+  GracefulShutdown graceful_shutdown_;
   std::optional<ListenError> listen_error_;
 };
 
--- a/node/process/resource_limits.h
+++ b/node/process/resource_limits.h
@@ -1,4 +1,4 @@
-// The part of the node's limits that one of its processes keeps to.
+// The fraction of the node's limits that applies to one of its processes.
 #pragma once
 
 #include <cstddef>
@@ -7,6 +7,7 @@
 
 namespace asterdrift::node::process {
 
+// Divides the configured sockets and memory among the processes, and among their uses.
 struct ResourceLimits {
   // processes: how many share the node's limits, this one included.
   ResourceLimits(const config::NodeConfig& config, std::size_t processes);
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -2,6 +2,7 @@
 
 #include <boost/asio/buffer.hpp>
 
+#include "node/http/status.h"
 #include "node/memory/body_stream.h"
 
 namespace asterdrift::node::upstream {
@@ -18,7 +19,7 @@
 
 ResponseParser::ResponseParser() { begin_message(); }
 
-// Not eager: an eager parser of Beast 1.74 goes on after a head whose body is over the limit.
+// Not eager: an eager parser of Beast 1.74 continues after a head whose body is over the limit.
 void ResponseParser::begin_message() {
   parser_.emplace();
   parser_->body_limit(memory::kMaxBodyBytes);
@@ -75,10 +76,10 @@
 
 bool ResponseParser::is_interim() const {
   const unsigned status = parser_->get().result_int();
-  return status >= 100 && status < 200 && status != 101;
+  return status >= http::kContinue && status < http::kOk && status != http::kSwitchingProtocols;
 }
 
-// Whether a head leaves no doubt where its response ends.
+// Whether the head defines the end of the response unambiguously.
 bool ResponseParser::has_unambiguous_length() const {
   const auto& head = parser_->get();
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
@@ -86,13 +87,14 @@
   return encodings == 0 || boost::beast::iequals(head[beast_http::field::transfer_encoding], "chunked");
 }
 
-// Only the two statuses with the server's word for it prove that a request never ran.
+// Only these two statuses with the server's Not-Started header prove that a request never ran.
 Outcome ResponseParser::outcome() const {
   const auto& response = parser_->get();
   const unsigned status = response.result_int();
-  if (status == 200) return Outcome::kSuccess;
-  if ((status == 503 || status == 504) && response["Not-Started"] == "1") return Outcome::kRejected;
-  return status >= 500 ? Outcome::kServerError : Outcome::kUnknown;
+  if (status == http::kOk) return Outcome::kSuccess;
+  const bool may_prove = status == http::kServiceUnavailable || status == http::kGatewayTimeout;
+  if (may_prove && response["Not-Started"] == "1") return Outcome::kRejected;
+  return status >= http::kInternalServerError ? Outcome::kServerError : Outcome::kUnknown;
 }
 
 }  // namespace asterdrift::node::upstream
