--- a/scale/benchmark/balancer_trial.cpp
+++ b/scale/benchmark/balancer_trial.cpp
@@ -1,3 +1,4 @@
+// A balancer under load, in a simulated time: each attempt ends by an event.
 #include "scale/benchmark/balancer_trial.h"
 
 #include <algorithm>
--- a/scale/benchmark/node_run.cpp
+++ b/scale/benchmark/node_run.cpp
@@ -1,3 +1,4 @@
+// What a node uses, and what it polls from discovery, over a time.
 #include "scale/benchmark/node_run.h"
 
 #include <chrono>
--- a/scale/benchmark/options.cpp
+++ b/scale/benchmark/options.cpp
@@ -1,3 +1,4 @@
+// The options of a benchmark's command line.
 #include "scale/benchmark/options.h"
 
 #include <algorithm>
--- a/scale/capacity/calculations.cpp
+++ b/scale/capacity/calculations.cpp
@@ -1,3 +1,4 @@
+// The results of the capacity page, one function a subject.
 #include "scale/capacity/calculations.h"
 
 namespace asterdrift::scale::capacity {
--- a/scale/capacity/errors.cpp
+++ b/scale/capacity/errors.cpp
@@ -1,3 +1,4 @@
+// Errors of the capacity calculator.
 #include "scale/capacity/errors.h"
 
 namespace asterdrift::scale::capacity {
--- a/scale/capacity/fleet.cpp
+++ b/scale/capacity/fleet.cpp
@@ -1,3 +1,5 @@
+// The planned fleet: how many servers each service has, and the rates and sizes that follow from the
+// assumptions alone.
 #include "scale/capacity/fleet.h"
 
 #include <algorithm>
--- a/scale/capacity/measurements.cpp
+++ b/scale/capacity/measurements.cpp
@@ -1,3 +1,4 @@
+// What has been measured: the cells of stored benchmark reports that docs/capacity-slopes.txt names.
 #include "scale/capacity/measurements.h"
 
 #include <algorithm>
--- a/scale/capacity/page.cpp
+++ b/scale/capacity/page.cpp
@@ -1,3 +1,4 @@
+// The page of results: each stands as <!--=key-->text<!--/-->.
 #include "scale/capacity/page.h"
 
 #include <algorithm>
--- a/scale/capacity/report_table.cpp
+++ b/scale/capacity/report_table.cpp
@@ -1,3 +1,4 @@
+// The table of a stored benchmark report, and text cut into cells.
 #include "scale/capacity/report_table.h"
 
 #include <algorithm>
--- a/scale/capacity/value_format.cpp
+++ b/scale/capacity/value_format.cpp
@@ -1,3 +1,4 @@
+// Values as the page shows them: three significant digits, thousands separated, "not run" for NaN.
 #include "scale/capacity/value_format.h"
 
 #include <algorithm>
--- a/scale/guards/simulated_fleet.cpp
+++ b/scale/guards/simulated_fleet.cpp
@@ -1,3 +1,4 @@
+// One stand-in discovery and simulated nodes in front of it, all on one thread.
 #include "scale/guards/simulated_fleet.h"
 
 #include <algorithm>
--- a/scale/measurement/allocations.cpp
+++ b/scale/measurement/allocations.cpp
@@ -1,3 +1,4 @@
+// What this program allocates: its operator new counts.
 #include "scale/measurement/allocations.h"
 
 #include <malloc.h>
--- a/scale/measurement/load_generator.cpp
+++ b/scale/measurement/load_generator.cpp
@@ -1,3 +1,4 @@
+// Clients of a node: an open loop, whose latencies count from when a request was due.
 #include "scale/measurement/load_generator.h"
 
 #include <array>
--- a/scale/measurement/process_usage.cpp
+++ b/scale/measurement/process_usage.cpp
@@ -1,3 +1,4 @@
+// What the system reports of processes, and this process's limit of open files.
 #include "scale/measurement/process_usage.h"
 
 #include <sys/resource.h>
--- a/scale/measurement/processor_time.cpp
+++ b/scale/measurement/processor_time.cpp
@@ -1,3 +1,4 @@
+// The cost of work as this thread's processor time, which leaves out what other processes take.
 #include "scale/measurement/processor_time.h"
 
 #include <time.h>
--- a/scale/measurement/quantiles.cpp
+++ b/scale/measurement/quantiles.cpp
@@ -1,3 +1,4 @@
+// Quantiles of samples.
 #include "scale/measurement/quantiles.h"
 
 #include <algorithm>
--- a/scale/measurement/report.cpp
+++ b/scale/measurement/report.cpp
@@ -1,3 +1,4 @@
+// The report of a benchmark: one table as plain text, and as JSON where a file is named.
 #include "scale/measurement/report.h"
 
 #include <unistd.h>
--- a/scale/stand_ins/discovery_connection.cpp
+++ b/scale/stand_ins/discovery_connection.cpp
@@ -1,3 +1,4 @@
+// One connection to the stand-in discovery: polls for a list, and watches.
 #include "scale/stand_ins/discovery_connection.h"
 
 #include <boost/asio/buffer.hpp>
--- a/scale/stand_ins/discovery_process.cpp
+++ b/scale/stand_ins/discovery_process.cpp
@@ -1,3 +1,4 @@
+// The stand-in discovery in a process of its own, and the commands that it carries out.
 #include "scale/stand_ins/discovery_process.h"
 
 #include <sys/socket.h>
--- a/scale/stand_ins/endpoint_lists.cpp
+++ b/scale/stand_ins/endpoint_lists.cpp
@@ -1,3 +1,4 @@
+// Endpoint lists of any size, as discovery sends them, and the versions that they go through.
 #include "scale/stand_ins/endpoint_lists.h"
 
 #include <cstdio>
--- a/scale/stand_ins/event_loop.cpp
+++ b/scale/stand_ins/event_loop.cpp
@@ -1,3 +1,4 @@
+// Running an event loop until a condition holds.
 #include "scale/stand_ins/event_loop.h"
 
 #include <chrono>
--- a/scale/stand_ins/forwarding_proxy.cpp
+++ b/scale/stand_ins/forwarding_proxy.cpp
@@ -1,3 +1,5 @@
+// A proxy that forwards bytes, each connection to one of its own: the minimum that anything between a client
+// and a server costs on one thread.
 #include "scale/stand_ins/forwarding_proxy.h"
 
 #include <array>
--- a/scale/stand_ins/measured_node.cpp
+++ b/scale/stand_ins/measured_node.cpp
@@ -1,3 +1,4 @@
+// The node's program under measurement, in a process of its own.
 #include "scale/stand_ins/measured_node.h"
 
 #include <sys/stat.h>
--- a/scale/stand_ins/node_setup.cpp
+++ b/scale/stand_ins/node_setup.cpp
@@ -1,3 +1,4 @@
+// Configuration of a node in the scale tests, simulated or real.
 #include "scale/stand_ins/node_setup.h"
 
 #include <sstream>
--- a/scale/stand_ins/server_process.cpp
+++ b/scale/stand_ins/server_process.cpp
@@ -1,3 +1,4 @@
+// Stand-ins that serve on a port, each in a process of its own.
 #include "scale/stand_ins/server_process.h"
 
 #include <fcntl.h>
--- a/scale/stand_ins/simulated_node.cpp
+++ b/scale/stand_ins/simulated_node.cpp
@@ -1,3 +1,5 @@
+// A node without sockets to clients and servers: the real balancer and the real watch on discovery, many in
+// one process.
 #include "scale/stand_ins/simulated_node.h"
 
 #include <algorithm>
--- a/scale/stand_ins/stand_in_discovery.cpp
+++ b/scale/stand_ins/stand_in_discovery.cpp
@@ -1,3 +1,4 @@
+// A discovery on loopback: endpoint lists, watches, and what can go wrong with them.
 #include "scale/stand_ins/stand_in_discovery.h"
 
 #include <chrono>
--- a/scale/stand_ins/stand_in_server.cpp
+++ b/scale/stand_ins/stand_in_server.cpp
@@ -1,3 +1,4 @@
+// A server behind a node: it responds to each request with 200.
 #include "scale/stand_ins/stand_in_server.h"
 
 #include <array>
--- a/scale/stand_ins/temporary_folder.cpp
+++ b/scale/stand_ins/temporary_folder.cpp
@@ -1,3 +1,4 @@
+// A folder of this process, removed with all that is in it at the end of the object's lifetime.
 #include "scale/stand_ins/temporary_folder.h"
 
 #include <cerrno>
