--- a/scale/benchmark/propagation_benchmark.cpp
+++ b/scale/benchmark/propagation_benchmark.cpp
@@ -36,12 +36,7 @@
   PropagationTrial(std::size_t servers, std::size_t nodes, ListDelivery list_delivery)
       : servers_(servers), discovery_(servers, kUnusedEndpointPort) {
     for (std::size_t index = 0; index < nodes; ++index) {
-      NodeSetup setup;
-      setup.discovery_port = discovery_.port();
-      setup.replica_index = index;
-      setup.replicas = nodes;
-      setup.list_delivery = list_delivery;
-      setup.seed = index + 1;
+      const NodeSetup setup = replica_setup(discovery_.port(), index, nodes, list_delivery);
       nodes_.push_back(std::make_unique<SimulatedNode>(io_, config_text(setup),
                                                        [this](SimulatedNode& node) { record(node); }));
     }
--- a/scale/guards/simulated_fleet.cpp
+++ b/scale/guards/polling_fleet.cpp
@@ -1,5 +1,5 @@
 // One stand-in discovery and simulated nodes in front of it, all on one thread.
-#include "scale/guards/simulated_fleet.h"
+#include "scale/guards/polling_fleet.h"
 
 #include <algorithm>
 #include <chrono>
@@ -15,34 +15,29 @@
 
 }  // namespace
 
-SimulatedFleet::SimulatedFleet(std::size_t servers, std::size_t nodes, ListDelivery list_delivery)
+PollingFleet::PollingFleet(std::size_t servers, std::size_t nodes, ListDelivery list_delivery)
     : discovery_(io_, servers, kUnusedEndpointPort) {
   for (std::size_t index = 0; index < nodes; ++index) {
-    NodeSetup setup;
-    setup.discovery_port = discovery_.port();
-    setup.replica_index = index;
-    setup.replicas = nodes;
-    setup.list_delivery = list_delivery;
-    setup.seed = index + 1;
+    const NodeSetup setup = replica_setup(discovery_.port(), index, nodes, list_delivery);
     nodes_.push_back(std::make_unique<SimulatedNode>(io_, config_text(setup)));
   }
   for (const auto& node : nodes_) node->start();
   wait_until_current();
 }
 
-void SimulatedFleet::wait_until(const std::function<bool()>& condition) {
+void PollingFleet::wait_until(const std::function<bool()>& condition) {
   const bool holds = run_until(io_, static_cast<double>(kLimit.count()), condition);
-  if (!holds) throw test_support::TimeoutError("a condition of the simulated fleet", kLimit);
+  if (!holds) throw test_support::TimeoutError("a condition of the polling fleet", kLimit);
 }
 
-void SimulatedFleet::wait_until_current() {
+void PollingFleet::wait_until_current() {
   wait_until([&] {
     return std::all_of(nodes_.begin(), nodes_.end(),
                        [&](const auto& node) { return node->list_version() == discovery_.version(); });
   });
 }
 
-std::uint64_t SimulatedFleet::failed_watches() const {
+std::uint64_t PollingFleet::failed_watches() const {
   std::uint64_t failed = 0;
   for (const auto& node : nodes_) failed += node->counts().failed_watches;
   return failed;
--- a/scale/guards/simulated_fleet.h
+++ b/scale/guards/polling_fleet.h
@@ -14,10 +14,10 @@
 
 namespace asterdrift::scale {
 
-class SimulatedFleet {
+class PollingFleet {
  public:
   // Starts all nodes, and returns when each has the list.
-  SimulatedFleet(std::size_t servers, std::size_t nodes, ListDelivery list_delivery);
+  PollingFleet(std::size_t servers, std::size_t nodes, ListDelivery list_delivery);
 
   // Handles events until the condition holds. The limit only ends a test that would hang: throws
   // test_support::TimeoutError.
--- a/scale/guards/polling_guard_test.cpp
+++ b/scale/guards/polling_guard_test.cpp
@@ -13,7 +13,7 @@
 
 #include "node/discovery/poll_budget.h"
 #include "node/discovery/poll_timeouts.h"
-#include "scale/guards/simulated_fleet.h"
+#include "scale/guards/polling_fleet.h"
 #include "scale/stand_ins/endpoint_lists.h"
 #include "scale/stand_ins/event_loop.h"
 #include "scale/stand_ins/node_setup.h"
@@ -52,7 +52,7 @@
 TEST_P(ListWatch, StartPollsOneSnapshot) {
   for (const std::size_t servers : kListSizes) {
     repeat_until_undisturbed([&] {
-      SimulatedFleet fleet(servers, 1, GetParam());
+      PollingFleet fleet(servers, 1, GetParam());
       const DiscoveryCounts counts = fleet.discovery().counts();
       if (fleet.failed_watches() > 0) return fleet.failed_watches();
       EXPECT_EQ(counts.connections, 1U) << servers;
@@ -69,7 +69,7 @@
 TEST_P(ListWatch, ChangeCausesNoPollAndNoSnapshot) {
   for (const std::size_t servers : kListSizes) {
     repeat_until_undisturbed([&] {
-      SimulatedFleet fleet(servers, 1, GetParam());
+      PollingFleet fleet(servers, 1, GetParam());
       const DiscoveryCounts before = fleet.discovery().counts();
       for (std::size_t i = 0; i < 20; ++i) fleet.discovery().set_draining(i % servers, i % 2 == 0);
       fleet.wait_until_current();
@@ -88,7 +88,7 @@
 // A node that lost its watch polls what it has missed, not a snapshot.
 TEST_P(ListWatch, LostWatchResumesFromItsVersion) {
   repeat_until_undisturbed([&] {
-    SimulatedFleet fleet(27000, 1, GetParam());
+    PollingFleet fleet(27000, 1, GetParam());
     const DiscoveryCounts before = fleet.discovery().counts();
     fleet.discovery().set_mode(DiscoveryMode::kHealthy);  // closes the open connections
     fleet.discovery().set_draining(3, true);
@@ -106,7 +106,7 @@
 TEST(ScaleGuard, ChangeIsSentOnceToEachOfManyNodes) {
   repeat_until_undisturbed([] {
     constexpr std::size_t kDrained = 11;
-    SimulatedFleet fleet(20, 300, ListDelivery::kPushed);
+    PollingFleet fleet(20, 300, ListDelivery::kPushed);
     const DiscoveryCounts before = fleet.discovery().counts();
     const std::uint64_t failed_at_start = fleet.failed_watches();  // all nodes share one thread
     fleet.discovery().set_draining(kDrained, true);
--- a/scale/measurement/process_usage.cpp
+++ b/scale/measurement/process_usage.cpp
@@ -6,24 +6,18 @@
 
 #include <cerrno>
 #include <cstdlib>
-#include <fstream>
 #include <sstream>
 #include <string>
 #include <system_error>
 
+#include "support/text_file.h"
+
 namespace asterdrift::scale {
 namespace {
 
 constexpr double kKilobytesPerMegabyte = 1024;
 constexpr double kNanosecondsPerSecond = 1e9;
 
-std::string read_file(const std::string& path) {
-  std::ifstream file(path);
-  std::ostringstream text;
-  text << file.rdbuf();
-  return text.str();
-}
-
 // The number after a name in /proc/PID/status; 0 where the name is not there.
 double status_field(const std::string& status, const std::string& name) {
   const std::string label = "\n" + name + ":";
@@ -46,17 +40,17 @@
 }
 
 double processor_time(const std::string& folder) {
-  std::istringstream scheduler_statistics(read_file(folder + "/schedstat"));
+  std::istringstream scheduler_statistics(test_support::read_text_file(folder + "/schedstat"));
   double nanoseconds = 0;
   if (scheduler_statistics >> nanoseconds && nanoseconds > 0) return nanoseconds / kNanosecondsPerSecond;
-  return ticked_processor_time(read_file(folder + "/stat"));
+  return ticked_processor_time(test_support::read_text_file(folder + "/stat"));
 }
 
 }  // namespace
 
 ProcessUsage usage_of(pid_t process) {
   const std::string folder = "/proc/" + std::to_string(process);
-  const std::string status = read_file(folder + "/status");
+  const std::string status = test_support::read_text_file(folder + "/status");
   ProcessUsage usage;
   usage.resident_mb = status_field(status, "VmRSS") / kKilobytesPerMegabyte;
   usage.peak_mb = status_field(status, "VmHWM") / kKilobytesPerMegabyte;
--- a/scale/stand_ins/measured_node.cpp
+++ b/scale/stand_ins/measured_node.cpp
@@ -8,10 +8,10 @@
 #include <chrono>
 #include <cstdlib>
 #include <fstream>
-#include <sstream>
 #include <system_error>
 
 #include "support/loopback_socket.h"
+#include "support/text_file.h"
 #include "support/wait_until.h"
 
 namespace asterdrift::scale {
@@ -26,13 +26,6 @@
 const char* const kLogFile = "log";
 const char* const kNodeTemporaryFolder = "own";
 
-std::string read_file(const std::string& path) {
-  std::ifstream file(path);
-  std::ostringstream text;
-  text << file.rdbuf();
-  return text.str();
-}
-
 // Writes what the program needs, and returns how to start it.
 test_support::Program prepare(const std::string& program, const NodeSetup& setup,
                               const TemporaryFolder& folder) {
@@ -65,7 +58,7 @@
 int MeasuredNode::wait_for_port() const {
   const test_support::Stopwatch stopwatch;
   for (;;) {
-    const std::string log = read_file(folder_.path_of(kLogFile));
+    const std::string log = test_support::read_text_file(folder_.path_of(kLogFile));
     if (const int port = listening_port(log); port != 0) return port;
     if (stopwatch.seconds() > static_cast<double>(kStartLimit.count())) {
       throw test_support::TimeoutError("the node's port in its log: " + log, kStartLimit);
--- a/scale/stand_ins/node_setup.cpp
+++ b/scale/stand_ins/node_setup.cpp
@@ -12,6 +12,17 @@
 
 }  // namespace
 
+NodeSetup replica_setup(int discovery_port, std::size_t replica_index, std::size_t replicas,
+                        ListDelivery list_delivery) {
+  NodeSetup setup;
+  setup.discovery_port = discovery_port;
+  setup.replica_index = replica_index;
+  setup.replicas = replicas;
+  setup.list_delivery = list_delivery;
+  setup.seed = replica_index + 1;
+  return setup;
+}
+
 std::string config_text(const NodeSetup& setup) {
   const bool is_pushed = setup.list_delivery == ListDelivery::kPushed;
   std::ostringstream out;
--- a/scale/stand_ins/node_setup.h
+++ b/scale/stand_ins/node_setup.h
@@ -25,6 +25,10 @@
   int memory_mb = 192;
 };
 
+// A node that is one of `replicas`, with a seed of its own.
+NodeSetup replica_setup(int discovery_port, std::size_t replica_index, std::size_t replicas,
+                        ListDelivery list_delivery);
+
 // The node's configuration file.
 std::string config_text(const NodeSetup& setup);
 
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -1,4 +1,4 @@
-/// Child processes of a test: functions and programs.
+// Child processes of a test: functions and programs.
 #include "support/child_process.h"
 
 #include <fcntl.h>
@@ -24,7 +24,7 @@
 constexpr std::size_t kReadBuffer = 1024;  // bytes
 constexpr mode_t kLogFileMode = 0600;
 
-/// Forks; the child ends when this process does. Returns 0 in the child.
+// Forks; the child ends when this process does. Returns 0 in the child.
 pid_t fork_bound_to_parent() {
   const pid_t parent = getpid();
   const pid_t child = fork();
@@ -36,7 +36,7 @@
   return child;
 }
 
-/// Replaces the child by the program.
+// Replaces the child by the program.
 [[noreturn]] void execute(const Program& program) {
   if (program.descriptor_limit) {
     const rlimit limit{*program.descriptor_limit, *program.descriptor_limit};
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -1,5 +1,5 @@
-/// Child processes of a test: functions and programs. Each ends with the object that started it, and with
-/// the test's own process at the latest.
+// Child processes of a test: functions and programs. Each ends with the object that started it, and with
+// the test's own process at the latest.
 #pragma once
 
 #include <sys/resource.h>
@@ -15,24 +15,24 @@
 
 namespace asterdrift::test_support {
 
-/// Variables by name and value.
+// Variables by name and value.
 using Environment = std::vector<std::pair<std::string, std::string>>;
 
-/// A program and how to start it.
+// A program and how to start it.
 struct Program {
   std::string path;
-  Environment environment;                 ///< in addition to the inherited variables
-  std::optional<rlim_t> descriptor_limit;  ///< of open files; unset: inherited
+  Environment environment;                 // in addition to the inherited variables
+  std::optional<rlim_t> descriptor_limit;  // of open files; unset: inherited
 };
 
-/// A child process. Killed by its destructor unless it has ended before.
+// A child process. Killed by its destructor unless it has ended before.
 class ChildProcess {
  public:
-  /// Runs `work` in the child, which exits with `kWorkEnded` when `work` returns or throws.
+  // Runs `work` in the child, which exits with `kWorkEnded` when `work` returns or throws.
   explicit ChildProcess(const std::function<void()>& work);
-  /// Runs a program whose standard output and standard error are appended to a file.
+  // Runs a program whose standard output and standard error are appended to a file.
   ChildProcess(const Program& program, const std::string& log_path);
-  /// Runs a program whose standard error is `log_descriptor`.
+  // Runs a program whose standard error is `log_descriptor`.
   ChildProcess(const Program& program, int log_descriptor);
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
@@ -40,33 +40,33 @@
 
   pid_t pid() const { return pid_; }
   void signal(int signal_number) const;
-  /// Suspends the process, and returns when it is suspended.
+  // Suspends the process, and returns when it is suspended.
   void suspend() const;
   void resume() const;
-  /// Waits for the end. Returns the exit code, or the negative number of the signal that ended it.
+  // Waits for the end. Returns the exit code, or the negative number of the signal that ended it.
   int wait_for_exit();
-  /// The process's folder in /proc.
+  // The process's folder in /proc.
   std::string proc_folder() const;
-  /// The folder that lists its open files.
+  // The folder that lists its open files.
   std::string descriptor_folder() const;
 
-  static constexpr int kWorkEnded = 1;        ///< exit code of a child that runs a function
-  static constexpr int kNotExecutable = 127;  ///< exit code where the program can't be run
+  static constexpr int kWorkEnded = 1;        // exit code of a child that runs a function
+  static constexpr int kNotExecutable = 127;  // exit code where the program can't be run
 
  private:
   pid_t pid_ = -1;
 };
 
-/// A program whose standard error is read through a pipe.
+// A program whose standard error is read through a pipe.
 class LoggedProgram {
  public:
   explicit LoggedProgram(const Program& program);
 
   ChildProcess& process() { return child_; }
   const ChildProcess& process() const { return child_; }
-  /// The log so far, read until `part` stands in it, the program ends, or the wait limit is over.
+  // The log so far, read until `part` stands in it, the program ends, or the wait limit is over.
   const std::string& read_log_until(const std::string& part);
-  /// Reads the log to its end, and waits for the end of the process.
+  // Reads the log to its end, and waits for the end of the process.
   int wait_for_exit();
 
  private:
--- a/tests/support/connection_table.cpp
+++ b/tests/support/connection_table.cpp
@@ -1,4 +1,4 @@
-/// The system's table of TCP connections (/proc/net/tcp).
+// The system's table of TCP connections (/proc/net/tcp).
 #include "support/connection_table.h"
 
 #include <algorithm>
--- a/tests/support/discovery_messages.cpp
+++ b/tests/support/discovery_messages.cpp
@@ -1,4 +1,4 @@
-/// Text of discovery's messages: an endpoint's entry, and lists of entries.
+// Text of discovery's messages: an endpoint's entry, and lists of entries.
 #include "support/discovery_messages.h"
 
 namespace asterdrift::test_support {
--- a/tests/support/file_descriptor.cpp
+++ b/tests/support/file_descriptor.cpp
@@ -1,4 +1,4 @@
-/// An owned file descriptor, and waiting until one is readable.
+// An owned file descriptor, and waiting until one is readable.
 #include "support/file_descriptor.h"
 
 #include <poll.h>
--- a/tests/support/fixed_address_fixture.cpp
+++ b/tests/support/fixed_address_fixture.cpp
@@ -1,4 +1,4 @@
-/// A node whose processes share one listening port and one folder for their lock file.
+// A node whose processes share one listening port and one folder for their lock file.
 #include "support/fixed_address_fixture.h"
 
 #include <unistd.h>
--- a/tests/support/fixed_address_fixture.h
+++ b/tests/support/fixed_address_fixture.h
@@ -1,4 +1,4 @@
-/// A node whose processes share one listening port and one folder for their lock file.
+// A node whose processes share one listening port and one folder for their lock file.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace asterdrift::node::testing {
 
-/// A folder for temporary files, removed with this object.
+// A folder for temporary files, removed with this object.
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -22,12 +22,12 @@
   std::string path_;
 };
 
-/// Several processes of one node, at the same time or one after the other.
+// Several processes of one node, at the same time or one after the other.
 struct FixedAddressFixture : NodeFixture {
   FixedAddressFixture();
 
   Environment environment() const { return {{"TMPDIR", folder.path()}}; }
-  /// Starts a further process; its watch is not accepted yet.
+  // Starts a further process; its watch is not accepted yet.
   std::unique_ptr<NodeProcess> start_process() const;
   TestSocket connect_to_node() const { return TestSocket::connect_to(config.listen_port); }
   void set_admin_port(int port) { config.admin_address = "127.0.0.1:" + std::to_string(port); }
--- a/tests/support/long_timeout_fixture.cpp
+++ b/tests/support/long_timeout_fixture.cpp
@@ -1,4 +1,4 @@
-/// Fixtures whose requests end by the events of a test alone, and ways for a peer to depart.
+// Fixtures whose requests end by the events of a test alone, and ways for a peer to depart.
 #include "support/long_timeout_fixture.h"
 
 #include <utility>
--- a/tests/support/loopback_socket.cpp
+++ b/tests/support/loopback_socket.cpp
@@ -1,4 +1,4 @@
-/// TCP sockets on the loopback address: connections, listening sockets and reserved ports.
+// TCP sockets on the loopback address: connections, listening sockets and reserved ports.
 #include "support/loopback_socket.h"
 
 #include <arpa/inet.h>
--- a/tests/support/loopback_socket.h
+++ b/tests/support/loopback_socket.h
@@ -1,4 +1,4 @@
-/// TCP sockets on the loopback address: connections, listening sockets and reserved ports.
+// TCP sockets on the loopback address: connections, listening sockets and reserved ports.
 #pragma once
 
 #include <chrono>
@@ -10,39 +10,39 @@
 
 namespace asterdrift::test_support {
 
-/// One end of a connection. Reads wait for `kWaitLimit` at most and then return what has come.
+// One end of a connection. Reads wait for `kWaitLimit` at most and then return what has come.
 class TestSocket {
  public:
   TestSocket() = default;
   explicit TestSocket(FileDescriptor descriptor);
 
-  /// Connects to a port. Throws std::system_error with the address.
+  // Connects to a port. Throws std::system_error with the address.
   static TestSocket connect_to(int port);
 
   int local_port() const;
   bool is_open() const { return descriptor_.is_open(); }
 
-  /// Sends all of `text`; waits while the other side takes nothing. Ignores a broken connection.
+  // Sends all of `text`; waits while the other side takes nothing. Ignores a broken connection.
   void send(const std::string& text) const;
-  /// Sends what the other side takes before it pauses for long. Returns the number of bytes.
+  // Sends what the other side takes before it pauses for long. Returns the number of bytes.
   std::size_t send_available(const std::string& text) const;
-  /// Ends the sending direction alone.
+  // Ends the sending direction alone.
   void shutdown_send() const;
-  /// Closes in order (FIN).
+  // Closes in order (FIN).
   void close();
-  /// Closes with a reset (RST).
+  // Closes with a reset (RST).
   void reset();
 
-  /// Whether nothing has come that is still unread, neither bytes nor the end of the connection.
+  // Whether nothing has come that is still unread, neither bytes nor the end of the connection.
   bool is_idle(std::chrono::milliseconds wait = std::chrono::milliseconds{0}) const;
-  /// Waits for the other side's end of the connection. False where further bytes come first.
+  // Waits for the other side's end of the connection. False where further bytes come first.
   bool closed_by_peer();
 
-  /// So many bytes; fewer where the connection ends first.
+  // So many bytes; fewer where the connection ends first.
   std::string read_bytes(std::size_t count);
-  /// All up to and including `mark`; less where the connection ends first.
+  // All up to and including `mark`; less where the connection ends first.
   std::string read_until(const std::string& mark);
-  /// One message with a body of Content-Length; less where the connection ends first.
+  // One message with a body of Content-Length; less where the connection ends first.
   std::string read_message();
 
  private:
@@ -53,7 +53,7 @@
   std::string buffer_;  // received and not yet read
 };
 
-/// Listens on a port that the system has chosen.
+// Listens on a port that the system has chosen.
 class ListeningSocket {
  public:
   static constexpr int kDefaultBacklog = 64;  // connections
@@ -61,17 +61,17 @@
   explicit ListeningSocket(int backlog = kDefaultBacklog);
 
   int port() const { return port_; }
-  /// Frees the port.
+  // Frees the port.
   void close() { descriptor_.close(); }
-  /// Refuses connections from now on, but keeps the port: another test's process must not get it.
+  // Refuses connections from now on, but keeps the port: another test's process must not get it.
   void stop_listening();
-  /// Listens again after stop_listening.
+  // Listens again after stop_listening.
   void resume_listening() const;
-  /// Whether no connection waits to be accepted.
+  // Whether no connection waits to be accepted.
   bool is_idle(std::chrono::milliseconds wait = std::chrono::milliseconds{0}) const;
-  /// Throws TimeoutError where no connection comes.
+  // Throws TimeoutError where no connection comes.
   TestSocket accept() const;
-  /// Accepts from whichever of the two gets a connection.
+  // Accepts from whichever of the two gets a connection.
   static TestSocket accept_from_either(const ListeningSocket& first, const ListeningSocket& second);
 
  private:
@@ -79,7 +79,7 @@
   int port_ = 0;
 };
 
-/// Keeps a port from all processes but those that share it (SO_REUSEPORT): bound and never listening.
+// Keeps a port from all processes but those that share it (SO_REUSEPORT): bound and never listening.
 class ReservedPort {
  public:
   ReservedPort();
--- a/tests/support/node_fixture.cpp
+++ b/tests/support/node_fixture.cpp
@@ -1,4 +1,4 @@
-/// A node among scripted peers.
+// A node among scripted peers.
 #include "support/node_fixture.h"
 
 namespace asterdrift::node::testing {
--- a/tests/support/node_process.cpp
+++ b/tests/support/node_process.cpp
@@ -1,4 +1,4 @@
-/// The node as a program under test.
+// The node as a program under test.
 #include "support/node_process.h"
 
 #include <gtest/gtest.h>
--- a/tests/support/node_test_config.cpp
+++ b/tests/support/node_test_config.cpp
@@ -1,4 +1,4 @@
-/// The configuration of a node under test: the operators' field names.
+// The configuration of a node under test: the operators' field names.
 #include "support/node_test_config.h"
 
 #include <sstream>
--- a/tests/support/slow_accepting_server.h
+++ b/tests/support/slow_accepting_server.h
@@ -1,19 +1,19 @@
-/// A server whose connections are established only when a test says so.
+// A server whose connections are established only when a test says so.
 #pragma once
 
 #include "support/loopback_socket.h"
 
 namespace asterdrift::node::testing {
 
-/// Its accept queue is full, so that connection attempts wait until `accept_waiting`.
+// Its accept queue is full, so that connection attempts wait until `accept_waiting`.
 class SlowAcceptingServer {
  public:
   SlowAcceptingServer();
 
   int port() const { return listener_.port(); }
-  /// Makes room in the queue: the waiting connection attempt succeeds.
+  // Makes room in the queue: the waiting connection attempt succeeds.
   void free_queue() const { listener_.accept(); }
-  /// Makes room and accepts the waiting connection.
+  // Makes room and accepts the waiting connection.
   test_support::TestSocket accept_waiting() const;
 
  private:
--- a/tests/support/text.h
+++ b/tests/support/text.h
@@ -1,4 +1,4 @@
-/// Small helpers on text.
+// Small helpers on text.
 #pragma once
 
 #include <string>
--- a/tests/support/wait_until.cpp
+++ b/tests/support/wait_until.cpp
@@ -1,4 +1,4 @@
-/// Waiting for conditions and measuring elapsed time.
+// Waiting for conditions and measuring elapsed time.
 #include "support/wait_until.h"
 
 namespace asterdrift::test_support {
--- a/tests/support/wait_until.h
+++ b/tests/support/wait_until.h
@@ -1,4 +1,4 @@
-/// Waiting for conditions and measuring elapsed time. All limits only end a test that would hang.
+// Waiting for conditions and measuring elapsed time. All limits only end a test that would hang.
 #pragma once
 
 #include <chrono>
@@ -7,13 +7,13 @@
 
 namespace asterdrift::test_support {
 
-/// How long any wait of a test may take.
+// How long any wait of a test may take.
 constexpr std::chrono::milliseconds kWaitLimit{15000};
 
-/// Seconds on the steady clock, which is the same in all processes.
+// Seconds on the steady clock, which is the same in all processes.
 double steady_seconds();
 
-/// Measures from its construction.
+// Measures from its construction.
 class Stopwatch {
  public:
   Stopwatch() : started_at_(steady_seconds()) {}
@@ -23,13 +23,13 @@
   double started_at_;
 };
 
-/// Something did not happen within its limit. Names what was awaited.
+// Something did not happen within its limit. Names what was awaited.
 class TimeoutError : public std::runtime_error {
  public:
   TimeoutError(const std::string& awaited, std::chrono::milliseconds limit);
 };
 
-/// A line of a source file: where the caller of a function with this default argument stands.
+// A line of a source file: where the caller of a function with this default argument stands.
 struct SourceLine {
   const char* file = "";
   int line = 0;
@@ -39,10 +39,10 @@
   }
 };
 
-/// The TimeoutError of a condition that was awaited at `place`.
+// The TimeoutError of a condition that was awaited at `place`.
 TimeoutError condition_timeout(const SourceLine& place, std::chrono::milliseconds limit);
 
-/// Evaluates `condition` again and again until it holds. Throws TimeoutError past `kWaitLimit`.
+// Evaluates `condition` again and again until it holds. Throws TimeoutError past `kWaitLimit`.
 template <class Condition>
 void wait_until(Condition condition, const SourceLine& place = SourceLine::current()) {
   const Stopwatch stopwatch;
