--- a/src/balancer/endpoint_set.h
+++ b/src/balancer/endpoint_set.h
@@ -12,7 +12,7 @@
 
 namespace asterdrift::balancer {
 
-constexpr std::size_t kMostExamined = 64;  // endpoints, in one step of a selection
+constexpr std::size_t kMaxExamined = 64;  // endpoints, in one step of a selection
 
 // Each endpoint has a slot while it is listed or has requests in flight; slots are reused.
 class EndpointSet {
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -25,14 +25,15 @@
   const support::CircularRange local = endpoints.in_zone(settings.zone);
   // The subset includes a proportional part of the other zones, which is used less because of its cost: no
   // zone is overloaded while another is idle.
-  prefers_own_zone_ = settings.cross_zone_cost > 0 && local.size >= kLeastZoneSize;
+  prefers_own_zone_ = settings.cross_zone_cost > 0 && local.size >= kMinZoneSize;
   ranges_ = prefers_own_zone_ ? std::vector{local, endpoints.other_zones()} : std::vector{endpoints.all()};
   if (size_ == 0) next_ = subset_start(replica_index, replica_count, ready);
   size_ = 0;
   for (support::CircularRange& range : ranges_) {
     // With few replicas a fixed size would leave some endpoints unused.
-    const std::size_t covering = (kLeastReplicas * range.circumference + replica_count - 1) / replica_count;
-    range.size = std::min(range.circumference, std::max(kLeastSubset, covering));
+    const std::size_t covering =
+        (kMinSharingReplicas * range.circumference + replica_count - 1) / replica_count;
+    range.size = std::min(range.circumference, std::max(kMinSubsetSize, covering));
     range.start = subset_start(replica_index, replica_count, range.circumference);
     size_ += range.size;
   }
@@ -43,7 +44,7 @@
 
 void Subset::sample(support::Random& random, std::vector<std::uint32_t>& slots) const {
   slots.clear();
-  if (size_ <= kMostExamined) {
+  if (size_ <= kMaxExamined) {
     slots = fixed_sample_;
     return;
   }
@@ -54,14 +55,14 @@
 
 void Subset::sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots) {
   slots.clear();
-  if (range.size <= kMostExamined) return range.collect(0, range.size, slots);
-  range.collect(next_ % range.size, kMostExamined, slots);
-  next_ += kMostExamined;
+  if (range.size <= kMaxExamined) return range.collect(0, range.size, slots);
+  range.collect(next_ % range.size, kMaxExamined, slots);
+  next_ += kMaxExamined;
 }
 
 std::size_t Subset::sample_size(const support::CircularRange& range) const {
-  if (size_ <= kMostExamined) return range.size;
-  return std::min(range.size, 1 + (kMostExamined - ranges_.size()) * range.size / size_);
+  if (size_ <= kMaxExamined) return range.size;
+  return std::min(range.size, 1 + (kMaxExamined - ranges_.size()) * range.size / size_);
 }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -9,9 +9,9 @@
 
 namespace asterdrift::balancer {
 
-constexpr std::size_t kLeastSubset = 8;    // endpoints: a compromise of even load and few connections
-constexpr std::size_t kLeastReplicas = 2;  // that use each endpoint; few replicas have large subsets
-constexpr std::size_t kLeastZoneSize = 3;  // endpoints: a choice, even when one of them fails
+constexpr std::size_t kMinSubsetSize = 8;       // endpoints: a compromise of even load and few connections
+constexpr std::size_t kMinSharingReplicas = 2;  // that use each endpoint; few replicas have large subsets
+constexpr std::size_t kMinZoneSize = 3;         // endpoints: a choice, even when one of them fails
 
 // Distributes the endpoints evenly over the replicas, by consecutive ranges of the endpoints' order.
 class Subset {
@@ -30,7 +30,7 @@
   const std::vector<std::uint32_t>& fixed_sample() const { return fixed_sample_; }
   // The same, but from random positions of a large subset, in proportion from its own zone and from others.
   void sample(support::Random& random, std::vector<std::uint32_t>& slots) const;
-  // The slots of a short range, or the next ones of a long range: size / kMostExamined samples cover it.
+  // The slots of a short range, or the next ones of a long range: size / kMaxExamined samples cover it.
   void sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots);
 
  private:
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -72,7 +72,7 @@
   for (const std::vector<std::string>& group : groups) {
     const auto replicas = static_cast<std::size_t>(settings.replica_count);
     const std::size_t size =
-        std::max(kLeastSubset, (kLeastReplicas * group.size() + replicas - 1) / replicas);
+        std::max(kMinSubsetSize, (kMinSharingReplicas * group.size() + replicas - 1) / replicas);
     const auto replica = static_cast<std::size_t>(settings.replica_index);
     for (const std::size_t position : subset_of(replica, replicas, group.size(), size))
       subset.push_back(group[position]);
@@ -84,14 +84,14 @@
                            const ReferenceEndpointList& list, const Settings& settings,
                            support::Random& random) {
   const std::size_t in_own_zone = ready_in_zone(list, settings.zone).size();
-  ASSERT_EQ(subset.prefers_own_zone(), settings.cross_zone_cost > 0 && in_own_zone >= kLeastZoneSize);
+  ASSERT_EQ(subset.prefers_own_zone(), settings.cross_zone_cost > 0 && in_own_zone >= kMinZoneSize);
   const std::vector<std::string> expected = expected_subset(settings, list, subset.prefers_own_zone());
   ASSERT_EQ(subset.size(), expected.size());
   std::vector<std::uint32_t> examined;
   subset.sample(random, examined);
-  ASSERT_LE(examined.size(), kMostExamined);
+  ASSERT_LE(examined.size(), kMaxExamined);
   const auto sampled = addresses(endpoints, examined);
-  if (expected.size() <= kMostExamined) {
+  if (expected.size() <= kMaxExamined) {
     ASSERT_EQ(sampled, expected);
   } else {
     const std::set<std::string> all(expected.begin(), expected.end());
@@ -141,7 +141,7 @@
   int total = 0;
   for (int i = 0; i < 3000; ++i) {
     subset.sample(random, examined);
-    ASSERT_LE(examined.size(), kMostExamined);
+    ASSERT_LE(examined.size(), kMaxExamined);
     for (const std::uint32_t slot : examined) {
       sampled.insert(slot);
       ++total;
@@ -160,9 +160,9 @@
   subset.update(settings_of_many_replicas(), endpoints);
   std::set<std::uint32_t> sampled;
   std::vector<std::uint32_t> examined;
-  for (std::size_t i = 0; i < 7000 / kMostExamined + 1; ++i) {
+  for (std::size_t i = 0; i < 7000 / kMaxExamined + 1; ++i) {
     subset.sample_next(endpoints.all(), examined);
-    ASSERT_EQ(examined.size(), kMostExamined);
+    ASSERT_EQ(examined.size(), kMaxExamined);
     sampled.insert(examined.begin(), examined.end());
   }
   EXPECT_EQ(sampled.size(), 7000U);
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -35,7 +35,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr std::size_t kMaxExaminedByRequest = 600;  // endpoints: 7 x kMostExamined, and to count the request
+constexpr std::size_t kMaxExaminedByRequest = 600;  // endpoints: 7 x kMaxExamined, and to count the request
 constexpr std::size_t kMaxExaminedByUpdate = 250;   // endpoints: in five indexes, and of a small subset
 constexpr std::size_t kMaxBytesOfUpdate = 20000;
 
@@ -256,7 +256,7 @@
     const std::uint64_t examined_before = examined_endpoints(replica);
     const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
     // Others are rejected before an endpoint is searched for.
-    if (examined_endpoints(replica) - examined_before >= 4 * kMostExamined) ++searches;
+    if (examined_endpoints(replica) - examined_before >= 4 * kMaxExamined) ++searches;
     if (sent.empty()) continue;
     replica.end_attempt(id, Outcome::kSuccess);
     EXPECT_EQ(sent[0].endpoint, snapshot.endpoints[0].address);
