--- a/adapter/replica_host.cpp
+++ b/adapter/replica_host.cpp
@@ -1,3 +1,4 @@
+// Starts, stops and drives replicas.
 #include "adapter/replica_host.h"
 
 #include <exception>
--- a/adapter/wire_reader.cpp
+++ b/adapter/wire_reader.cpp
@@ -1,3 +1,4 @@
+// Maps the wire's names to the balancer's events.
 #include "adapter/wire_reader.h"
 
 #include <string>
--- a/adapter/wire_writer.cpp
+++ b/adapter/wire_writer.cpp
@@ -1,3 +1,4 @@
+// Maps the balancer's actions to the wire's names.
 #include "adapter/wire_writer.h"
 
 #include <variant>
--- a/json/fields.cpp
+++ b/json/fields.cpp
@@ -1,3 +1,4 @@
+// Checks of presence and type.
 #include "json/fields.h"
 
 #include "rapidjson/error/en.h"
--- a/json/settings_reader.cpp
+++ b/json/settings_reader.cpp
@@ -1,3 +1,4 @@
+// Maps the names of the JSON form to the settings.
 #include "json/settings_reader.h"
 
 #include <stdexcept>
--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -1,3 +1,4 @@
+// Learns rate limits from the outcomes of requests, and suppresses requests above them.
 #include "balancer/admission_control.h"
 
 #include <algorithm>
--- a/src/balancer/attempt.cpp
+++ b/src/balancer/attempt.cpp
@@ -1,3 +1,4 @@
+// The states of an attempt, and what its outcome proves.
 #include "balancer/attempt.h"
 
 namespace asterdrift::balancer {
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -1,3 +1,4 @@
+// Limits of requests in flight, from response rates and the latency without queueing.
 #include "balancer/concurrency_limit.h"
 
 #include <algorithm>
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -1,3 +1,4 @@
+// Collects the candidates for an attempt, weighs them and draws two.
 #include "balancer/endpoint_selection.h"
 
 #include <algorithm>
--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -1,3 +1,4 @@
+// Applies endpoint updates to the records and their indexes.
 #include "balancer/endpoint_set.h"
 
 #include <algorithm>
--- a/src/balancer/outcome_recorder.cpp
+++ b/src/balancer/outcome_recorder.cpp
@@ -1,3 +1,4 @@
+// Which statistics an outcome updates.
 #include "balancer/outcome_recorder.h"
 
 #include <algorithm>
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -1,3 +1,4 @@
+// The relative latency of an endpoint.
 #include "balancer/outlier_detection.h"
 
 #include <algorithm>
--- a/src/balancer/pending_request.cpp
+++ b/src/balancer/pending_request.cpp
@@ -1,3 +1,4 @@
+// Queries over the attempts of a request.
 #include "balancer/pending_request.h"
 
 #include <algorithm>
--- a/src/balancer/request_ledger.cpp
+++ b/src/balancer/request_ledger.cpp
@@ -1,3 +1,4 @@
+// Keeps attempts and the requests in flight of endpoints and tier consistent.
 #include "balancer/request_ledger.h"
 
 namespace asterdrift::balancer {
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -1,3 +1,4 @@
+// Time-outs of attempts from the latency of their class, and the retry budget.
 #include "balancer/retry_policy.h"
 
 #include <algorithm>
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -1,3 +1,4 @@
+// The range of each setting.
 #include "balancer/settings_validation.h"
 
 #include <initializer_list>
--- a/src/balancer/shedding_log.cpp
+++ b/src/balancer/shedding_log.cpp
@@ -1,3 +1,4 @@
+// Counts rejections by reason.
 #include "balancer/shedding_log.h"
 
 #include <string>
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -1,3 +1,4 @@
+// Budgets of endpoints that are warming up.
 #include "balancer/slow_start.h"
 
 #include <algorithm>
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -1,3 +1,4 @@
+// Ranges of the endpoints' order for each replica, and samples of them.
 #include "balancer/subset.h"
 
 #include <algorithm>
--- a/src/balancer/traffic_statistics.cpp
+++ b/src/balancer/traffic_statistics.cpp
@@ -1,3 +1,4 @@
+// Initial values and derived values of the statistics.
 #include "balancer/traffic_statistics.h"
 
 namespace asterdrift::balancer {
--- a/src/support/decaying_statistics.cpp
+++ b/src/support/decaying_statistics.cpp
@@ -1,3 +1,4 @@
+// Updates of the statistics.
 #include "support/decaying_statistics.h"
 
 #include <algorithm>
--- a/src/support/ordered_index.cpp
+++ b/src/support/ordered_index.cpp
@@ -1,3 +1,4 @@
+// Blocks of an order-statistics list.
 #include "support/ordered_index.h"
 
 namespace asterdrift::support {
--- a/src/support/random.cpp
+++ b/src/support/random.cpp
@@ -1,3 +1,4 @@
+// splitmix64 and FNV-1a.
 #include "support/random.h"
 
 namespace asterdrift::support {
--- a/src/support/sliding_window.cpp
+++ b/src/support/sliding_window.cpp
@@ -1,3 +1,4 @@
+// Buckets of a sliding window, in a ring.
 #include "support/sliding_window.h"
 
 #include <cmath>
