--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -28,6 +28,7 @@
       generation_(generation),
       socket_(owner.io),
       timer_(owner.io),
+      sender_(socket_, timer_),
       response_(owner.io, owner.body_budget) {}
 
 Connection::~Connection() {
@@ -67,7 +68,7 @@
   state_ = State::kWriting;
   timer_.on_progress();
   set_timer(std::min(timer_.timeout_at(), timer_.write_by()));
-  writer_.begin(request_, timer_.remaining_ms());
+  sender_.begin(request_);
   if (request_->body_rest) {
     wait_for_rest();
     wait_readable();  // a server may respond before it has the complete request
@@ -111,7 +112,7 @@
   const auto on_end = std::exchange(callbacks_, {}).on_end;
   response_.reset();
   request_.reset();
-  writer_.reset();
+  sender_.reset();
   if (reuse == Reuse::kAllowed) {
     owner_.on_reusable(shared_from_this());
   } else {
@@ -167,58 +168,24 @@
   end(state_ == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed);
 }
 
-// Not a composed asynchronous operation, whose handler would run some time after the last byte has been
-// written: a timeout in between would take a complete request for an incomplete one.
 void Connection::write() {
   // No attempt may begin for a client that has disconnected, also where that has not been noticed yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
   const bool is_awaited = response_.is_streaming() || !request->is_awaited || request->is_awaited();
   if (!is_awaited) return stop(serial_, Outcome::kNotSent);
-  do {
-    if (!write_piece()) return;
-  } while (prepare_next_piece());
-}
-
-// Returns whether the piece has been written.
-bool Connection::write_piece() {
-  while (!writer_.piece_is_written()) {
-    if (now() >= timer_.write_by()) {
-      end(Outcome::kNotSent);
-      return false;
-    }
-    error_code error;
-    writer_.advance(socket_.write_some(writer_.buffers(), error));
-    if (error == asio::error::would_block) {
-      wait_writable();
-      return false;
-    }
-    if (error) {
-      end(Outcome::kConnectFailed);
-      return false;
-    }
-    timer_.on_progress();
-  }
-  return true;
-}
-
-// Returns whether there is more to write now. If not, the client or the response is awaited, or the attempt
-// has ended.
-bool Connection::prepare_next_piece() {
-  const bool was_consumed = request_->rest_consumed;
-  switch (writer_.next()) {
-    case RequestWriter::Next::kPiece:
-      if (request_->rest_consumed && !was_consumed) callbacks_.on_body_consumed();
-      return true;
-    case RequestWriter::Next::kWait:
-      return false;
-    case RequestWriter::Next::kTruncated:
-      end(Outcome::kNotSent);
-      return false;
-    case RequestWriter::Next::kComplete:
-      on_request_written();
-      return false;
+  switch (sender_.send(callbacks_.on_body_consumed)) {
+    case RequestSender::Result::kComplete:
+      return on_request_written();
+    case RequestSender::Result::kBlocked:
+      return wait_writable();
+    case RequestSender::Result::kAwaitsClient:
+      return;
+    case RequestSender::Result::kTruncated:
+    case RequestSender::Result::kOverdue:
+      return end(Outcome::kNotSent);
+    case RequestSender::Result::kFailed:
+      return end(Outcome::kConnectFailed);
   }
-  return false;
 }
 
 void Connection::on_request_written() {
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -10,7 +10,7 @@
 #include "node/upstream/attempt.h"
 #include "node/upstream/attempt_timer.h"
 #include "node/upstream/connection_owner.h"
-#include "node/upstream/request_writer.h"
+#include "node/upstream/request_sender.h"
 #include "node/upstream/response_receiver.h"
 
 namespace asterdrift::node::upstream {
@@ -70,8 +70,6 @@
 
   void wait_for_rest();
   void write();
-  bool write_piece();
-  bool prepare_next_piece();
   void on_request_written();
   void wait_writable();
 
@@ -96,7 +94,7 @@
   std::shared_ptr<UpstreamRequest> request_;
   AttemptCallbacks callbacks_;
   AttemptTimer timer_;
-  RequestWriter writer_;
+  RequestSender sender_;
   ResponseReceiver response_;
   bool is_blocked_ = false;  // the server takes no bytes now
   double began_at_ = 0;
