--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -15,7 +15,7 @@
 using boost::system::error_code;
 
 constexpr int kMaxAcceptsPerWait = 64;  // so that other sockets are served in between
-constexpr int kBacklog = 256;
+constexpr int kBacklog = 256;           // connections that the system queues
 constexpr auto kOverduePeriod = std::chrono::milliseconds(200);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
 
--- a/node/discovery/poll_budget.h
+++ b/node/discovery/poll_budget.h
@@ -1,7 +1,6 @@
-// Limits the bytes that a node receives from discovery in vain.
+// Limits the bytes that a node receives from discovery without a usable list.
 #pragma once
 
-#include <algorithm>
 #include <cstddef>
 
 namespace asterdrift::node::discovery {
@@ -23,38 +22,25 @@
     kInvalid     // not a valid list
   };
 
-  // Bytes have been received in vain. jitter: 0 to 1, so that nodes do not poll at the same time.
-  void record_waste(double now, std::size_t bytes, double jitter, Waste waste) {
-    const double refilled = std::min(kBurst, bytes_left_ + (now - updated_at_) * kBytesPerSecond);
-    bytes_left_ = refilled - static_cast<double>(bytes);
-    updated_at_ = now;
-    if (!is_spent()) return;
-    const double wait = -bytes_left_ / kBytesPerSecond * (1 + jitter / 2);
-    const double longest = kMaxBackoff * (0.5 + jitter / 2);
-    defer_until(now + (waste == Waste::kInvalid ? wait : std::min(wait, longest)));
-  }
+  // Bytes have been received without a usable list. jitter: 0 to 1, so that nodes do not poll at the same
+  // time.
+  void record_waste(double now, std::size_t bytes, double jitter, Waste waste);
 
   // Whether the budget is exhausted.
   bool is_spent() const { return bytes_left_ < 0; }
 
-  void record_invalid_list(double now, double jitter) {
-    backoff_ = std::min(std::max(backoff_ * 2, kFirstBackoff), kMaxBackoff);
-    defer_until(now + backoff_ * (0.5 + jitter / 2));
-  }
+  void record_invalid_list(double now, double jitter);
 
   void record_valid_list() { backoff_ = 0; }
 
   // s until the next poll is allowed.
-  double wait(double now) const { return std::max(0.0, not_before_ - now); }
+  double wait(double now) const;
 
   // Allows a poll at once, as after a change of discovery's address. The bytes received stay charged.
-  void allow_now() {
-    backoff_ = 0;
-    not_before_ = 0;
-  }
+  void allow_now();
 
  private:
-  void defer_until(double time) { not_before_ = std::max(not_before_, time); }
+  void defer_until(double time);
 
   double bytes_left_ = kBurst, updated_at_ = 0;
   double backoff_ = 0, not_before_ = 0;
--- a/node/downstream/receive_pace.h
+++ b/node/downstream/receive_pace.h
@@ -2,42 +2,29 @@
 #pragma once
 
 #include <cstddef>
-#include <utility>
 
 namespace asterdrift::node::downstream {
 
 // Clients may take 2 s for a head, and send a body at 64 kB/s. Times are seconds on the steady clock.
 class ReceivePace {
  public:
-  void begin(double now) {
-    *this = {};
-    began_at_ = now;
-  }
+  void begin(double now);
   void on_head(double now) { head_at_ = now; }
   void add_body_bytes(std::size_t bytes) { body_bytes_ += bytes; }
   void set_body_bytes(std::size_t bytes) { body_bytes_ = bytes; }
 
   // While the server takes no bytes, the client's time does not count.
   void pause(double now) { paused_at_ = now; }
-  void resume(double now) {
-    if (is_paused()) paused_for_ += now - std::exchange(paused_at_, 0);
-  }
+  void resume(double now);
   bool is_paused() const { return paused_at_ > 0; }
 
   double began_at() const { return began_at_; }
   bool is_in_head() const { return head_at_ == 0; }
   // Whether too little of the body has arrived for the elapsed time. True for an incomplete head: its time is
   // limited by the caller.
-  bool is_too_slow(double now) const {
-    if (is_in_head()) return true;
-    const double allowed = kBodyGrace + static_cast<double>(body_bytes_) / kMinBytesPerSecond;
-    return now - head_at_ - paused_for_ > allowed;
-  }
+  bool is_too_slow(double now) const;
 
  private:
-  static constexpr double kBodyGrace = 0.7;  // s after the head
-  static constexpr double kMinBytesPerSecond = 40e3;
-
   double began_at_ = 0;
   double head_at_ = 0;  // 0 while the head is arriving
   double paused_at_ = 0, paused_for_ = 0;
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -30,7 +30,7 @@
 constexpr double kEvictionAge = 0.25;
 constexpr int kEvictionAttempts = 16;   // connections examined to find one that can be evicted
 constexpr int kMaxAcceptsPerWait = 64;  // so that other sockets are served in between
-constexpr int kBacklog = 4096;
+constexpr int kBacklog = 4096;          // connections that the system queues
 constexpr auto kOverduePeriod = std::chrono::milliseconds(100);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
 
