--- a/tests/node_unit/poll_budget_test.cpp
+++ b/tests/node_unit/poll_budget_test.cpp
@@ -65,13 +65,13 @@
 
 TEST(PollBudget, BacksOffAfterInvalidListsButNotAfterFailedPolls) {
   PollBudget budget;
-  PollBudget with_least_jitter;
+  PollBudget with_min_jitter;
   double previous_wait = 0;
   for (int i = 0; i < 4; ++i) {
     budget.record_invalid_list(100 * i, 1);
-    with_least_jitter.record_invalid_list(100 * i, 0);
+    with_min_jitter.record_invalid_list(100 * i, 0);
     EXPECT_GT(budget.wait(100 * i), previous_wait);
-    EXPECT_EQ(with_least_jitter.wait(100 * i), budget.wait(100 * i) / 2);
+    EXPECT_EQ(with_min_jitter.wait(100 * i), budget.wait(100 * i) / 2);
     previous_wait = budget.wait(100 * i);
   }
   for (int i = 4; i < 40; ++i) budget.record_invalid_list(100 * i, 1);
--- a/tests/support/simulated_call_chain.h
+++ b/tests/support/simulated_call_chain.h
@@ -41,7 +41,7 @@
 // What happened at one tier.
 struct CallChainTierCounts {
   int requests = 0;          // given to the replicas in front of it
-  int attempts = 0;          // of these requests
+  int attempts = 0;          // of those requests
   int connect_failures = 0;  // attempts whose connection was not established
   int retries = 0;           // attempts after the first one, apart from those that follow a connect failure
   int succeeded = 0;         // attempts
--- a/tests/support/simulated_fleet/client_traffic.cpp
+++ b/tests/support/simulated_fleet/client_traffic.cpp
@@ -10,8 +10,8 @@
 constexpr int kMaxTries = 4;
 constexpr double kMinTimeForRetry = 0.2;      // s; before the client's deadline
 constexpr double kMinRetryDelay = 0.03;       // s
-constexpr double kMeanRetryDelay = 0.1;       // s; beyond the least
-constexpr double kMinRetryAfterFactor = 0.5;  // clients wait this to one more times Retry-After
+constexpr double kMeanRetryDelay = 0.1;       // s; beyond kMinRetryDelay
+constexpr double kMinRetryAfterFactor = 0.5;  // of Retry-After; the wait is up to one Retry-After longer
 
 }  // namespace
 
--- a/tests/support/simulated_fleet/simulated_fleet.h
+++ b/tests/support/simulated_fleet/simulated_fleet.h
@@ -23,8 +23,8 @@
 struct FleetCounts {
   SlowStartLoad slow_start;
   int requests = 0;          // without retries of clients
-  int succeeded = 0;         // of these, answered before their client gave up
-  int within_objective = 0;  // of these, within the latency objective
+  int succeeded = 0;         // requests answered before their client gave up
+  int within_objective = 0;  // requests answered within the latency objective
   int rejected = 0;          // final responses, those to retries of clients included
   int failed = 0;            // the same
   int attempts = 0;          // sent to servers
