--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -15,6 +15,7 @@
 
 using ResponseCallback = std::function<void(Response&&)>;
 
+// One attempt of a request at a server.
 struct Attempt {
   enum class State {
     kOpen,       // has not ended; may have run
@@ -31,6 +32,7 @@
   State state = State::kOpen;
 };
 
+// A request from its dispatch until it has its final response and no open attempt.
 struct InFlightRequest {
   InFlightRequest(boost::asio::io_context& io, RequestId id, DownstreamRequest&& downstream,
                   ResponseCallback&& callback);
--- a/node/dispatch/request_table.h
+++ b/node/dispatch/request_table.h
@@ -13,6 +13,7 @@
 
 namespace asterdrift::node::dispatch {
 
+// Finds requests by id, and numbers them.
 class RequestTable {
  public:
   RequestId next_id() { return RequestId{++last_id_}; }
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -22,6 +22,7 @@
 
 using ConnectionList = std::list<std::shared_ptr<Connection>>;
 
+// What a client's connection is doing.
 enum class ConnectionState {
   kNew,
   kFresh,      // has sent nothing yet
--- a/scale/benchmark/balancer_trial.h
+++ b/scale/benchmark/balancer_trial.h
@@ -22,6 +22,7 @@
   kAtCapacity    // tier 0; they respond 1.7 times as slowly as before
 };
 
+// Measures the processor time of one balancer's requests.
 class BalancerTrial {
  public:
   struct Setup {
--- a/scale/benchmark/node_run.h
+++ b/scale/benchmark/node_run.h
@@ -9,6 +9,7 @@
 
 constexpr double kBytesPerKilobyte = 1024;
 
+// What measure_node() returns.
 struct NodeRun {
   ProcessUsage usage;               // at the end
   double processor_percent = 0;     // of a core
--- a/scale/benchmark/options.h
+++ b/scale/benchmark/options.h
@@ -15,6 +15,7 @@
   OptionError(const std::string& option, const std::string& reason);
 };
 
+// An option that a benchmark accepts.
 struct OptionDescription {
   std::string name;  // without the leading "--"
   bool has_value = true;
--- a/scale/capacity/assumptions.h
+++ b/scale/capacity/assumptions.h
@@ -5,6 +5,7 @@
 
 namespace asterdrift::scale::capacity {
 
+// One assumed value.
 struct Assumption {
   const char* key;
   double value;
--- a/scale/capacity/fleet.h
+++ b/scale/capacity/fleet.h
@@ -21,6 +21,7 @@
 // Bytes on the wire of so many changes in one message.
 double batch_message_bytes(double changes);
 
+// Calculated from the assumptions by its constructor.
 struct Fleet {
   Fleet();
 
--- a/scale/capacity/measurements.h
+++ b/scale/capacity/measurements.h
@@ -10,6 +10,7 @@
 
 namespace asterdrift::scale::capacity {
 
+// One measured value, and the report that has it.
 struct Measurement {
   double value = kNotMeasured;
   std::string unit;
--- a/scale/capacity/page.h
+++ b/scale/capacity/page.h
@@ -8,12 +8,14 @@
 
 namespace asterdrift::scale::capacity {
 
+// A result that the page shows with another text than the current one.
 struct StaleResult {
   std::string key;
   std::string shown;    // on the page
   std::string current;  // as calculated
 };
 
+// The text of the page, and the file that it came from.
 class Page {
  public:
   // Throws std::system_error where the file cannot be read.
--- a/scale/capacity/report_table.h
+++ b/scale/capacity/report_table.h
@@ -21,6 +21,7 @@
   explicit UnknownColumnError(const std::string& column);
 };
 
+// Reads single cells as numbers.
 class ReportTable {
  public:
   // Reads the lines that begin with a bar: the names of the columns, a rule, and the rows.
--- a/scale/capacity/results.h
+++ b/scale/capacity/results.h
@@ -7,6 +7,7 @@
 
 namespace asterdrift::scale::capacity {
 
+// Each key is added once.
 class Results {
  public:
   // Throws DuplicateKeyError.
--- a/scale/measurement/allocations.h
+++ b/scale/measurement/allocations.h
@@ -5,6 +5,7 @@
 
 namespace asterdrift::scale {
 
+// The counters of operator new.
 struct Allocations {
   std::size_t count = 0;       // calls of operator new so far
   std::size_t bytes = 0;       // requested so far
--- a/scale/measurement/load_generator.h
+++ b/scale/measurement/load_generator.h
@@ -6,12 +6,14 @@
 
 namespace asterdrift::scale {
 
+// What send_load() returns.
 struct LoadResult {
   std::vector<double> latencies;  // s, of the requests with status 200
   std::size_t failed = 0;  // with another status, on a broken connection, or without a response in time
   std::size_t connections = 0;
 };
 
+// The requests that send_load() sends.
 struct Load {
   int port = 0;                    // where the requests go
   double requests_per_second = 0;  // the mean of a Poisson process
--- a/scale/measurement/process_usage.h
+++ b/scale/measurement/process_usage.h
@@ -7,6 +7,7 @@
 
 namespace asterdrift::scale {
 
+// Processor time and memory of one process.
 struct ProcessUsage {
   double processor_time_s = 0;  // so far
   double resident_mb = 0;       // now; MB of 2^20 bytes
--- a/scale/stand_ins/node_setup.h
+++ b/scale/stand_ins/node_setup.h
@@ -15,6 +15,7 @@
   kSubscribed  // watches once the balancer requests it
 };
 
+// What distinguishes the nodes of the scale tests; all else is the same for each.
 struct NodeSetup {
   int discovery_port = 0;
   std::size_t replica_index = 0;
--- a/scale/stand_ins/stand_in_server.h
+++ b/scale/stand_ins/stand_in_server.h
@@ -9,6 +9,7 @@
 // An address on loopback; port 0 is any free port.
 boost::asio::ip::tcp::endpoint loopback_address(int port);
 
+// Listens on a free port of loopback.
 class StandInServer {
  public:
   // `response_delay_s` 0: responds at once.
--- a/src/balancer/endpoint_record.h
+++ b/src/balancer/endpoint_record.h
@@ -23,6 +23,7 @@
   std::uint64_t counted_responses = 0;  // of the replica, at the last refill
 };
 
+// An endpoint as it is listed, and what has been measured of it.
 struct EndpointRecord {
   const std::string& name() const { return advertised.address; }
 
--- a/tests/node_unit/endpoint_list_text.cpp
+++ b/tests/node_unit/endpoint_list_text.cpp
@@ -1,3 +1,4 @@
+// Texts of endpoint lists for the tests of their reader.
 #include "node_unit/endpoint_list_text.h"
 
 namespace asterdrift::node {
--- a/tests/support/simulated_call_chain.h
+++ b/tests/support/simulated_call_chain.h
@@ -48,6 +48,7 @@
   int rejected_as_full = 0;  // attempts, by servers without a free slot and with a full queue
 };
 
+// What happened to the requests of a run.
 struct CallChainCounts {
   int requests = 0;  // to the first tier; those that are in none of the next three had no response in time
   int succeeded = 0;
@@ -58,6 +59,7 @@
   double attempts_at_last_tier_per_request() const;
 };
 
+// Runs one scenario.
 class SimulatedCallChain {
  public:
   explicit SimulatedCallChain(CallChainScenario scenario);
--- a/tests/support/simulated_fleet/client_traffic.h
+++ b/tests/support/simulated_fleet/client_traffic.h
@@ -21,6 +21,7 @@
   std::size_t request_class = 0;
 };
 
+// Schedules arrivals and retries on the event queue.
 class ClientTraffic {
  public:
   // Of Settings::classes: one with an idempotency key, and one that is not idempotent.
--- a/tests/support/simulated_fleet/simulated_fleet.h
+++ b/tests/support/simulated_fleet/simulated_fleet.h
@@ -20,6 +20,7 @@
 
 namespace asterdrift::balancer {
 
+// What happened to the requests of a run.
 struct FleetCounts {
   SlowStartLoad slow_start;
   int requests = 0;          // without retries of clients
@@ -33,6 +34,7 @@
   double slow_start_utilization() const;
 };
 
+// Runs one scenario.
 class SimulatedFleet {
  public:
   explicit SimulatedFleet(const FleetScenario& scenario);
