--- /dev/null
+++ b/include/asterdrift/seconds.h
@@ -0,0 +1,8 @@
+#pragma once
+
+namespace asterdrift {
+
+/// A duration, or a time on the host's steady clock, in seconds.
+using Seconds = double;
+
+}  // namespace asterdrift
