--- a/adapter/replica_host.cpp
+++ b/adapter/replica_host.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "json/settings_reader.h"
+#include "json/settings_parser.h"
 
 namespace asterdrift::adapter {
 
@@ -52,10 +52,10 @@
 
 void ReplicaHost::start(double now, const Json& item, Replica& replica) {
   replica.reset();
-  const balancer::Settings settings = json::read_settings(json::require(item, "config"));
+  const balancer::Settings settings = json::parse_settings(json::require(item, "config"));
   replica = std::make_unique<balancer::Balancer>(settings, json::unsigned_integer(item, "initSeed"));
   actions_.clear();  // those of the previous process in this batch
-  replica->handle(now, balancer::Started{}, actions_);
+  replica->handle(now, balancer::ReplicaStarted{}, actions_);
 }
 
 void ReplicaHost::stop(Replica& replica) {
--- a/include/asterdrift/balancer/actions.h
+++ b/include/asterdrift/balancer/actions.h
@@ -1,6 +1,4 @@
 // The actions that a Balancer requests of its host, which executes them in the given order.
-//
-// All durations are in seconds and all times are seconds on the host's clock.
 #pragma once
 
 #include <cstdint>
@@ -8,37 +6,40 @@
 #include <string>
 #include <variant>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::balancer {
 
-// Starts an attempt. A request's attempts are numbered 0, 1, 2 ... in the order of their SendAttempts.
+// Starts an attempt. A request's attempts are numbered 0, 1, 2 ... in the order of its SendAttempt actions.
 struct SendAttempt {
   std::string id;        // of the request
-  std::string endpoint;  // address
-  double timeout = 0;    // s
-  // s; not to be written after this time, when servers may have dropped the idempotency key.
-  double write_within = std::numeric_limits<double>::infinity();
+  std::string endpoint;  // address of the endpoint
+  Seconds timeout = 0;
+  // The attempt must not be written to the connection later than this long after the action: servers may
+  // have dropped the idempotency key by then.
+  Seconds write_within = std::numeric_limits<Seconds>::infinity();
 };
 
-// Final response: rejected; the client can safely retry.
+// Final response: the request is rejected, and the client can safely retry.
 struct RejectRequest {
   std::string id;
-  double retry_after = 0;  // s; 0: no Retry-After
+  Seconds retry_after = 0;  // 0: the response has no Retry-After
 };
 
-// Final response: failed; the request may have been executed.
+// Final response: the request has failed, and may have been executed.
 struct FailRequest {
   std::string id;
 };
 
-// Withdraws one attempt.
+// Cancels one attempt.
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
 
-// Requests a TimerFired event with this token at a time.
+// Requests a TimerFired event with this token at the given time.
 struct SetTimer {
-  double at = 0;
+  Seconds at = 0;
   std::uint64_t token = 0;
 };
 
--- a/include/asterdrift/balancer/events.h
+++ b/include/asterdrift/balancer/events.h
@@ -1,6 +1,4 @@
 // The events that a Balancer handles. Hosts report them in the order in which they happen.
-//
-// All durations are in seconds and all times are seconds on the host's clock.
 #pragma once
 
 #include <cstddef>
@@ -10,64 +8,66 @@
 #include <variant>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::balancer {
 
-// The replica starts. The first event; the actions request what the replica needs.
-struct Started {};
+// The replica has started. This is the first event; its actions request what the replica needs.
+struct ReplicaStarted {};
 
 // A downstream request needs an endpoint. `id` is unique among requests that have not ended.
 struct Request {
   std::string id;
-  std::size_t tenant = 0;                // index into Settings::tenants
-  std::size_t request_class = 0;         // index into Settings::classes
-  double time_left = 0;                  // s until the client gives up
-  std::optional<double> announced_work;  // s on a standard core
-  bool is_client_retry = false;          // the client marked it as a retry of its own
-  bool body_arriving = false;            // its body is incomplete; RequestBodySent follows
+  std::size_t tenant = 0;                 // index into Settings::tenants
+  std::size_t request_class = 0;          // index into Settings::classes
+  Seconds time_left = 0;                  // until the client gives up
+  std::optional<Seconds> announced_work;  // time that the request takes on a standard core
+  bool is_client_retry = false;           // the client marked the request as a retry of its own
+  bool body_arriving = false;             // the body is incomplete; RequestBodySent follows
 };
 
 // How an attempt ended.
 enum class Outcome {
-  kSuccess,          // the response belongs to the client
+  kSuccess,          // the response can be forwarded to the client
   kServerError,      // the response is an error of the server
-  kRejected,         // the server is full or draining and has not begun it
-  kTimedOut,         // no response in time
+  kRejected,         // the server is full or draining, and has not begun to execute the request
+  kTimedOut,         // no response within the attempt's timeout
   kConnectFailed,    // no connection was established
   kConnectionReset,  // the connection broke during the attempt
-  kCancelled,        // withdrawn by CancelAttempt
+  kCancelled,        // cancelled by CancelAttempt
   kNotSent,          // nothing was sent
-  kUnknown           // anything else: it may have run
+  kUnknown           // anything else: the request may have been executed
 };
 
 // A streamed response has begun, and is being forwarded to the client.
 struct ResponseStarted {
   std::string id;
   int attempt = 0;
-  double elapsed = 0;  // s since the attempt was sent
+  Seconds elapsed = 0;  // since the attempt was sent
 };
 
-// The last byte of a request whose body was arriving has been sent on an attempt: its server can begin, and
-// the request's time starts here.
+// The last byte of a request whose body was arriving has been sent on an attempt. Only now can the server
+// begin, so the time of the request starts here.
 struct RequestBodySent {
   std::string id;
   int attempt = 0;
 };
 
-// A part of the request's body has been sent and is not buffered: it cannot be sent again.
+// A part of the request's body has been sent and is not buffered: the request cannot be sent again.
 struct RequestBodyConsumed {
   std::string id;
 };
 
-// An attempt has ended. Each SendAttempt gets exactly one.
+// An attempt has ended. Each SendAttempt is followed by exactly one AttemptResult.
 struct AttemptResult {
   std::string id;
   int attempt = 0;
   Outcome outcome = Outcome::kUnknown;
-  double elapsed = 0;         // s since it was sent
+  Seconds elapsed = 0;        // since the attempt was sent
   bool request_done = false;  // the request needs no further response
 };
 
-// The client has disconnected, or its time-out has expired: no response is needed any more.
+// The client has disconnected, or its timeout has expired: no response is needed any more.
 struct RequestAborted {
   std::string id;
 };
@@ -80,15 +80,15 @@
   std::string address;  // identifies the endpoint at every replica
   int zone = 0;
   int cell = 0;
-  double weight = 1;      // capacity relative to other endpoints
-  double started_at = 0;  // when the process last started; 0: long ago
+  double weight = 1;       // capacity relative to other endpoints
+  Seconds started_at = 0;  // when the process last started; 0: long ago
   EndpointState state = EndpointState::kReady;
 };
 
 // The endpoint list has changed, or watching it has failed.
 struct EndpointUpdate {
   enum class Form {
-    kIncremental,  // only what changed
+    kIncremental,  // only the endpoints that have changed
     kSnapshot,     // the complete list: endpoints that it does not contain have been removed
     kWatchFailed   // polling failed or the watch broke; the known endpoints stay
   };
@@ -102,7 +102,7 @@
 };
 
 // Any event.
-using Event = std::variant<Started, Request, ResponseStarted, RequestBodySent, RequestBodyConsumed,
+using Event = std::variant<ReplicaStarted, Request, ResponseStarted, RequestBodySent, RequestBodyConsumed,
                            AttemptResult, RequestAborted, EndpointUpdate, TimerFired>;
 
 }  // namespace asterdrift::balancer
--- a/include/asterdrift/balancer/settings.h
+++ b/include/asterdrift/balancer/settings.h
@@ -1,11 +1,11 @@
 // The settings of one load balancer replica.
-//
-// All durations are in seconds.
 #pragma once
 
 #include <optional>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::balancer {
 
 // Whether a request may be executed more than once.
@@ -20,13 +20,14 @@
 
 // A class of requests with common latency and retry rules.
 struct RequestClass {
-  double latency_objective = 0;           // s; a response within this time earns its full priority weight
+  Seconds latency_objective = 0;          // a response within this time earns its full priority weight
   double latency_objective_per_work = 0;  // the objective grows by this many times the announced work
-  double timeout = 0;                     // s; for all attempts together, and an upper bound of the objective
+  Seconds timeout = 0;                    // for all attempts together, and an upper bound of the objective
   double late_priority_weight = 0;        // fraction of the weight that a response after the objective earns
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DedupScope dedup_scope = DedupScope::kAll;
-  double dedup_window = 0;  // s; duplicates are dropped for this long after the first send that may have run
+  // Servers drop duplicates for this long after the first attempt that may have been executed was sent.
+  Seconds dedup_window = 0;
 };
 
 // A tenant, identified by its index in Settings::tenants.
@@ -36,30 +37,31 @@
 
 // The settings of one replica.
 struct Settings {
-  int replica_index = 0;         // this replica's number, 0 .. replica_count - 1
-  int replica_count = 1;         // replicas of the load balancer that send to this tier
-  int tier = 0;                  // the tier of servers this replica sends to; clients reach tier 0 first
-  int zone = 0;                  // the zone this replica runs in
-  double clock_granularity = 0;  // s; events come at least this far apart
+  int replica_index = 0;          // this replica's number, 0 .. replica_count - 1
+  int replica_count = 1;          // replicas of the load balancer that send to this tier
+  int tier = 0;                   // the tier of servers this replica sends to; clients reach tier 0 first
+  int zone = 0;                   // the zone this replica runs in
+  Seconds clock_granularity = 0;  // events come at least this far apart
   std::vector<RequestClass> classes;
-  std::vector<Tenant> tenants;  // empty where traffic is not split by tenant
+  std::vector<Tenant> tenants;  // empty if traffic is not split by tenant
 
-  double over_quota_priority_weight = 1;  // of a request beyond its tenant's quota, relative to one within it
+  // Priority weight of a request beyond its tenant's quota, relative to one within the quota.
+  double over_quota_priority_weight = 1;
 
   int max_attempts = 1;          // attempts allowed for one request
   bool hedging_allowed = false;  // two attempts of one request may be open at the same time
   bool cancel_allowed = false;   // CancelAttempt may be used
-  double max_retry_after = 0;    // s; the longest Retry-After that clients respect; 0: none is sent
+  Seconds max_retry_after = 0;   // the longest Retry-After that clients respect; 0: none is sent
 
   bool requires_watch = false;  // endpoint updates arrive only after WatchEndpoints
-  double poll_within = 0;       // s; without a watch, an update counts as notified after this time
+  Seconds poll_within = 0;      // without a watch, a replica counts as notified of an update after this time
 
-  double slow_start_capacity = 1;  // a starting server has at least this fraction of its capacity
-  double slow_start_duration = 0;  // s; after this time it has all of it
-  // A starting server fails where all replicas together send it `overload_multiple` times its current
-  // capacity for `overload_window` seconds.
+  double slow_start_capacity = 1;   // a starting server has at least this fraction of its capacity
+  Seconds slow_start_duration = 0;  // a server has its full capacity this long after its start
+  // A starting server fails if all replicas together send it `overload_multiple` times its current capacity
+  // for a time of `overload_window`.
   double overload_multiple = 3;
-  double overload_window = 2;
+  Seconds overload_window = 2;
 
   double cross_zone_cost = 0;  // cost of a request to another zone; 0: zones are not preferred
 };
--- a/include/asterdrift/seconds.h
+++ b/include/asterdrift/seconds.h
@@ -2,7 +2,7 @@
 
 namespace asterdrift {
 
-/// A duration, or a time on the host's steady clock, in seconds.
+// A duration, or a time on the host's steady clock, in seconds.
 using Seconds = double;
 
 }  // namespace asterdrift
--- a/json/settings_reader.cpp
+++ b/json/settings_parser.cpp
@@ -1,5 +1,5 @@
 // Maps the names of the JSON form to the settings.
-#include "json/settings_reader.h"
+#include "json/settings_parser.h"
 
 #include <stdexcept>
 #include <string>
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-balancer::Settings read_settings(const Json& object) {
+balancer::Settings parse_settings(const Json& object) {
   balancer::Settings settings;
   read_replica(object, settings);
   settings.classes = read_classes(object);
--- a/json/settings_reader.h
+++ b/json/settings_parser.h
@@ -10,6 +10,6 @@
 // Throws FormatError for a field that is missing or has another type, and std::invalid_argument for an
 // unknown name of an idempotency or deduplication scope. Does not check the range of numbers: the balancer
 // does.
-balancer::Settings read_settings(const Json& object);
+balancer::Settings parse_settings(const Json& object);
 
 }  // namespace asterdrift::json
--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "json/fields.h"
-#include "json/settings_reader.h"
+#include "json/settings_parser.h"
 
 namespace asterdrift::node::config {
 namespace {
@@ -84,7 +84,7 @@
 }
 
 void read_settings(const Json& settings, NodeConfig& out) {
-  out.settings = json::read_settings(settings);
+  out.settings = json::parse_settings(settings);
   out.classes = read_names(json::array(settings, "categories"));
   if (json::find(settings, "realms") != nullptr) out.tenants = read_names(json::array(settings, "realms"));
   if (json::find(settings, "azs") != nullptr) out.zones = read_zones(json::array(settings, "azs"));
--- a/node/dispatch/balancer_host.cpp
+++ b/node/dispatch/balancer_host.cpp
@@ -58,7 +58,7 @@
                            BalancerActions& actions)
     : io_(io), action_handler_(actions), balancer_(config.settings, config.seed) {}
 
-balancer::EndpointSetView BalancerHost::endpoints() const { return balancer_.endpoints(now()); }
+balancer::EndpointMetrics BalancerHost::endpoints() const { return balancer_.endpoint_metrics(now()); }
 
 void BalancerHost::post(balancer::Event event) {
   events_.push_back(std::move(event));
--- a/node/dispatch/balancer_host.h
+++ b/node/dispatch/balancer_host.h
@@ -37,7 +37,7 @@
   // outermost call returns. An action that throws ends its own request alone: the others are carried out.
   void post(balancer::Event event);
 
-  balancer::EndpointSetView endpoints() const;
+  balancer::EndpointMetrics endpoints() const;
 
  private:
   void handle_next_event();
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -53,7 +53,7 @@
       config_(config) {}
 
 void RequestDispatcher::start() {
-  balancer_.post(balancer::Started{});
+  balancer_.post(balancer::ReplicaStarted{});
   if (!config_.settings.requires_watch) watch_();  // pushed lists come on the same stream
   if (!config_.known_endpoints) return;
   apply_endpoints(*config_.known_endpoints);
--- a/node/dispatch/request_dispatcher.h
+++ b/node/dispatch/request_dispatcher.h
@@ -54,7 +54,7 @@
   // older than those of which this process has been notified.
   bool list_is_current() const { return list_is_current_; }
   void set_max_upstream_connections(std::size_t connections) { pool_.set_max_connections(connections); }
-  balancer::EndpointSetView endpoints() const { return balancer_.endpoints(); }
+  balancer::EndpointMetrics endpoints() const { return balancer_.endpoints(); }
 
  private:
   // Actions of the balancer.
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -140,7 +140,7 @@
 }
 
 std::string Node::metrics_report() const {
-  const balancer::EndpointSetView endpoints = dispatcher_.endpoints();
+  const balancer::EndpointMetrics endpoints = dispatcher_.endpoints();
   return metrics_.report({server_.pending(), endpoints.listed, endpoints.unavailable});
 }
 
--- a/scale/stand_ins/simulated_node.cpp
+++ b/scale/stand_ins/simulated_node.cpp
@@ -31,11 +31,13 @@
       on_list_applied_(std::move(on_list_applied)) {}
 
 void SimulatedNode::start() {
-  handle(balancer::Started{});
+  handle(balancer::ReplicaStarted{});
   if (!config_.settings.requires_watch) discovery_.watch();
 }
 
-bool SimulatedNode::has_endpoints() const { return balancer_.endpoints(node::timing::now()).listed > 0; }
+bool SimulatedNode::has_endpoints() const {
+  return balancer_.endpoint_metrics(node::timing::now()).listed > 0;
+}
 
 std::string SimulatedNode::handle_request() {
   balancer::Request request;
--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -116,7 +116,7 @@
                   in_time_multiple_ * in_time_rate_.at(now) / std::max(known_fraction, kMinKnownFraction));
 }
 
-TenantView TenantAdmission::view(double now) const {
+TenantMetrics TenantAdmission::metrics(Seconds now) const {
   const support::SlidingWindow::Sums sums = window_.sums(now);
   return {limit_, suppression(sums), sums.total, sums.declined};
 }
--- a/src/balancer/admission_control.h
+++ b/src/balancer/admission_control.h
@@ -24,7 +24,7 @@
   // connection. in_time: within the latency objective.
   void record_end(double now, bool overloaded, bool in_time);
 
-  TenantView view(double now) const;
+  TenantMetrics metrics(Seconds now) const;
 
  private:
   double suppression(const support::SlidingWindow::Sums& sums) const;
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -39,23 +39,23 @@
     }
   }
 
-  void handle(double now, const Event& event, std::vector<Action>& actions) {
+  void handle(Seconds now, const Event& event, std::vector<Action>& actions) {
     state_.now = now;
     actions_ = &actions;
     std::visit([this](const auto& typed_event) { on(typed_event); }, event);
   }
 
-  TenantView tenant(double now, std::size_t tenant) const {
-    return admission_[tenant_index(tenant)].view(now);
+  TenantMetrics tenant_metrics(Seconds now, std::size_t tenant) const {
+    return admission_[tenant_index(tenant)].metrics(now);
   }
 
-  EndpointSetView endpoints(double now) const {
-    return state_.endpoints.view(
+  EndpointMetrics endpoint_metrics(Seconds now) const {
+    return state_.endpoints.metrics(
         [&](const EndpointRecord& record) { return state_.outliers.is_outlier(record, now); });
   }
 
  private:
-  void on(const Started&) { watch_endpoints(); }
+  void on(const ReplicaStarted&) { watch_endpoints(); }
 
   void on(const Request& event) {
     if (ledger_.contains(event.id)) return;
@@ -233,12 +233,14 @@
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-void Balancer::handle(double now, const Event& event, std::vector<Action>& actions) {
+void Balancer::handle(Seconds now, const Event& event, std::vector<Action>& actions) {
   impl_->handle(now, event, actions);
 }
 
-TenantView Balancer::tenant(double now, std::size_t tenant) const { return impl_->tenant(now, tenant); }
+TenantMetrics Balancer::tenant_metrics(Seconds now, std::size_t tenant) const {
+  return impl_->tenant_metrics(now, tenant);
+}
 
-EndpointSetView Balancer::endpoints(double now) const { return impl_->endpoints(now); }
+EndpointMetrics Balancer::endpoint_metrics(Seconds now) const { return impl_->endpoint_metrics(now); }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -13,7 +13,7 @@
 constexpr double kMinZoneAdvantage = 2.5;         // of that power; smaller differences may be random
 constexpr double kLatencyPower = 2;               // how strongly latency lowers an endpoint's weight
 constexpr double kMinTierLatencyFraction = 0.01;  // of the objective
-constexpr std::size_t kMaxFallbackSteps = 4;      // of kMaxExamined endpoints outside the subset
+constexpr std::size_t kMaxFallbackSteps = 4;      // of kMaxExaminedEndpoints endpoints outside the subset
 
 }  // namespace
 
@@ -95,7 +95,7 @@
   const RequestClass& rules = *request.rules;
   const bool is_scoped =
       rules.idempotency == Idempotency::kIdempotencyKey && rules.dedup_scope != DedupScope::kAll;
-  if (!is_scoped || endpoints.ready().size() <= kMaxExamined) return endpoints.all();
+  if (!is_scoped || endpoints.ready().size() <= kMaxExaminedEndpoints) return endpoints.all();
   const auto attempt = std::ranges::find_if(request.attempts, &Attempt::may_have_run);
   if (attempt == request.attempts.end()) return endpoints.all();
   return rules.dedup_scope == DedupScope::kZone ? endpoints.in_zone(attempt->zone())
--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -69,7 +69,7 @@
   std::erase_if(removed_, [this](std::uint32_t slot) { return release(slot); });
   if (rebuild_) rebuild_indexes();
   index_changes_ = 0;
-  if (ready_.size() <= kMaxExamined) sum_weights();
+  if (ready_.size() <= kMaxExaminedEndpoints) sum_weights();
 }
 
 // Returns whether the slot is released or its endpoint has been listed again.
@@ -99,7 +99,7 @@
 
 // After too many changes by one update the indexes are cleared instead, and rebuilt at its end.
 void EndpointSet::set_indexed(std::uint32_t slot, bool indexed) {
-  if (++index_changes_ > kMaxExamined + ready_.size() / kRebuildDivisor) return clear_indexes();
+  if (++index_changes_ > kMaxExaminedEndpoints + ready_.size() / kRebuildDivisor) return clear_indexes();
   EndpointRecord& record = records_[slot];
   const auto change = [&](OrderedIndex& index, std::uint32_t key) {
     indexed ? records_.insert_into(index, key, slot) : records_.erase_from(index, key, slot);
@@ -138,7 +138,7 @@
 
 // In the order of the slots, so that the rounding of the sum does not depend on previous updates.
 void EndpointSet::sum_weights() {
-  std::array<std::uint32_t, kMaxExamined> slots;
+  std::array<std::uint32_t, kMaxExaminedEndpoints> slots;
   std::size_t count = 0;
   ready_.for_each_slot(0, ready_.size(), [&](std::uint32_t slot) { slots[count++] = slot; });
   std::sort(slots.begin(), slots.begin() + count);
--- a/src/balancer/endpoint_set.h
+++ b/src/balancer/endpoint_set.h
@@ -12,7 +12,7 @@
 
 namespace asterdrift::balancer {
 
-constexpr std::size_t kMaxExamined = 64;  // endpoints, in one step of a selection
+constexpr std::size_t kMaxExaminedEndpoints = 64;  // endpoints, in one step of a selection
 
 // Each endpoint has a slot while it is listed or has requests in flight; slots are reused.
 class EndpointSet {
@@ -48,7 +48,7 @@
   // The metrics of the endpoints. Outliers are ejected only while others are healthy: where none is healthy,
   // none is ejected.
   template <class Predicate>
-  EndpointSetView view(const Predicate& is_outlier) const {
+  EndpointMetrics metrics(const Predicate& is_outlier) const {
     std::size_t outliers = 0;  // all of them are tracked
     for (const std::uint32_t slot : tracked_) {
       const EndpointRecord& record = records_[slot];
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -10,8 +10,8 @@
   return replica_index * endpoints / replica_count;
 }
 
-std::vector<std::size_t> subset_of(std::size_t replica_index, std::size_t replica_count,
-                                   std::size_t endpoints, std::size_t size) {
+std::vector<std::size_t> subset_positions(std::size_t replica_index, std::size_t replica_count,
+                                          std::size_t endpoints, std::size_t size) {
   if (endpoints == 0 || replica_count == 0) return {};
   const std::size_t start = subset_start(replica_index, replica_count, endpoints);
   std::vector<std::size_t> positions;
@@ -45,7 +45,7 @@
 
 void Subset::sample(support::Random& random, std::vector<std::uint32_t>& slots) const {
   slots.clear();
-  if (size_ <= kMaxExamined) {
+  if (size_ <= kMaxExaminedEndpoints) {
     slots = fixed_sample_;
     return;
   }
@@ -56,14 +56,14 @@
 
 void Subset::sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots) {
   slots.clear();
-  if (range.size <= kMaxExamined) return range.collect(0, range.size, slots);
-  range.collect(next_ % range.size, kMaxExamined, slots);
-  next_ += kMaxExamined;
+  if (range.size <= kMaxExaminedEndpoints) return range.collect(0, range.size, slots);
+  range.collect(next_ % range.size, kMaxExaminedEndpoints, slots);
+  next_ += kMaxExaminedEndpoints;
 }
 
 std::size_t Subset::sample_size(const support::CircularRange& range) const {
-  if (size_ <= kMaxExamined) return range.size;
-  return std::min(range.size, 1 + (kMaxExamined - ranges_.size()) * range.size / size_);
+  if (size_ <= kMaxExaminedEndpoints) return range.size;
+  return std::min(range.size, 1 + (kMaxExaminedEndpoints - ranges_.size()) * range.size / size_);
 }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -30,7 +30,8 @@
   const std::vector<std::uint32_t>& fixed_sample() const { return fixed_sample_; }
   // The same, but from random positions of a large subset, in proportion from its own zone and from others.
   void sample(support::Random& random, std::vector<std::uint32_t>& slots) const;
-  // The slots of a short range, or the next ones of a long range: size / kMaxExamined samples cover it.
+  // The slots of a short range, or the next ones of a long range: size / kMaxExaminedEndpoints samples cover
+  // it.
   void sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots);
 
  private:
--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -13,7 +13,7 @@
   TestReplica replica(settings_with_quota(100));
   replica.handle(0, make_snapshot(4));
   EXPECT_EQ(send_steady_load(replica, 0, 10, 50, "a"), 500);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_metrics(replica.now, 0).suppression_factor, 0);
 }
 
 TEST(AdmissionControl, ExcessAboveRateLimitIsDeniedProportionally) {
@@ -21,19 +21,19 @@
   settings.over_quota_priority_weight = 0;  // the rate limit does not rise
   TestReplica replica(settings);
   replica.handle(0, make_snapshot(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_metrics(0, 0).rate_limit;
   const int admitted = send_steady_load(replica, 0, 8, 4 * limit, "a");
-  const TenantView view = replica.balancer.tenant(replica.now, 0);
+  const TenantMetrics view = replica.balancer.tenant_metrics(replica.now, 0);
   EXPECT_GT(admitted, 0.8 * limit * 8);
   EXPECT_LT(admitted, 1.6 * limit * 8);
   EXPECT_NEAR(view.suppression_factor, 1 - view.rate_limit / (4 * limit), 0.05);
-  EXPECT_GT(view.declined, 0);
+  EXPECT_GT(view.rejected_in_window, 0);
 }
 
 TEST(AdmissionControl, AllAreDeniedAtHardLimit) {
   TestReplica replica(settings_with_quota(10));
   replica.handle(0, make_snapshot(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_metrics(0, 0).rate_limit;
   const double requests = 400 * limit;  // within a second
   int admitted_at_end = 0;
   for (int i = 0; i < static_cast<int>(requests); ++i) {
@@ -42,17 +42,17 @@
     if (i > requests * 0.9 && admitted) ++admitted_at_end;
   }
   EXPECT_EQ(admitted_at_end, 0);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_metrics(replica.now, 0).suppression_factor, 1);
 }
 
 TEST(AdmissionControl, WindowExpires) {
   TestReplica replica(settings_with_quota(10));
   replica.handle(0, make_snapshot(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
-  EXPECT_GT(replica.balancer.tenant(0, 0).suppression_factor, 0.5);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(1.35, 0).total, 500);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(1.65, 0).total, 0);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(1.65, 0).suppression_factor, 0);
+  EXPECT_GT(replica.balancer.tenant_metrics(0, 0).suppression_factor, 0.5);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_metrics(1.35, 0).requests_in_window, 500);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_metrics(1.65, 0).requests_in_window, 0);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_metrics(1.65, 0).suppression_factor, 0);
 }
 
 // Returns how many were admitted.
@@ -74,11 +74,11 @@
   settings.over_quota_priority_weight = 0;
   TestReplica replica(settings);
   replica.handle(0, make_snapshot(4));
-  const double limit = replica.balancer.tenant(0, 0).rate_limit;
+  const double limit = replica.balancer.tenant_metrics(0, 0).rate_limit;
   const int soft_limit = static_cast<int>(1.5 * limit);
   EXPECT_EQ(send_at_once(replica, 0, soft_limit, "fill"), soft_limit);
   EXPECT_NEAR(send_at_once(replica, 0.01, 1000, "cached"), 667, 60);  // a third, as when the burst began
-  const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
+  const double factor = replica.balancer.tenant_metrics(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
   EXPECT_NEAR(send_at_once(replica, 0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
 }
@@ -96,7 +96,7 @@
     if (!only<SendAttempt>(actions).empty()) replica.end_attempt(id, Outcome::kSuccess);
   }
   EXPECT_GT(rejected, 300);
-  EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
+  EXPECT_EQ(replica.balancer.tenant_metrics(replica.now, 0).rejected_in_window, rejected);
 }
 
 }  // namespace
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -75,7 +75,7 @@
     replica.handle(replica.now, ResponseStarted{id, 0, 0.1});
     if (i >= 100) replica.end_attempt(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // a long transfer
   }
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now).unavailable, 0U);
 }
 
 // What is a small start for one replica would be an overload when all of them start together.
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -59,7 +59,7 @@
               list.ready_addresses([=](const Endpoint& endpoint) { return endpoint.cell == cell; }));
   }
   ASSERT_NEAR(endpoints.ready_weight(), ready_weight(list), 1e-9);
-  ASSERT_EQ(endpoints.view([](const EndpointRecord&) { return false; }).listed, list.endpoints().size());
+  ASSERT_EQ(endpoints.metrics([](const EndpointRecord&) { return false; }).listed, list.endpoints().size());
 }
 
 // The subset's share of each group of endpoints: of its own zone and of the others, or of all.
@@ -74,7 +74,7 @@
     const std::size_t size =
         std::max(kMinSubsetSize, (kMinSharingReplicas * group.size() + replicas - 1) / replicas);
     const auto replica = static_cast<std::size_t>(settings.replica_index);
-    for (const std::size_t position : subset_of(replica, replicas, group.size(), size))
+    for (const std::size_t position : subset_positions(replica, replicas, group.size(), size))
       subset.push_back(group[position]);
   }
   return subset;
@@ -89,9 +89,9 @@
   ASSERT_EQ(subset.size(), expected.size());
   std::vector<std::uint32_t> examined;
   subset.sample(random, examined);
-  ASSERT_LE(examined.size(), kMaxExamined);
+  ASSERT_LE(examined.size(), kMaxExaminedEndpoints);
   const auto sampled = addresses(endpoints, examined);
-  if (expected.size() <= kMaxExamined) {
+  if (expected.size() <= kMaxExaminedEndpoints) {
     ASSERT_EQ(sampled, expected);
   } else {
     const std::set<std::string> all(expected.begin(), expected.end());
@@ -141,7 +141,7 @@
   int total = 0;
   for (int i = 0; i < 3000; ++i) {
     subset.sample(random, examined);
-    ASSERT_LE(examined.size(), kMaxExamined);
+    ASSERT_LE(examined.size(), kMaxExaminedEndpoints);
     for (const std::uint32_t slot : examined) {
       sampled.insert(slot);
       ++total;
@@ -160,9 +160,9 @@
   subset.update(settings_of_many_replicas(), endpoints);
   std::set<std::uint32_t> sampled;
   std::vector<std::uint32_t> examined;
-  for (std::size_t i = 0; i < 7000 / kMaxExamined + 1; ++i) {
+  for (std::size_t i = 0; i < 7000 / kMaxExaminedEndpoints + 1; ++i) {
     subset.sample_next(endpoints.all(), examined);
-    ASSERT_EQ(examined.size(), kMaxExamined);
+    ASSERT_EQ(examined.size(), kMaxExaminedEndpoints);
     sampled.insert(examined.begin(), examined.end());
   }
   EXPECT_EQ(sampled.size(), 7000U);
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -35,12 +35,13 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr std::size_t kMaxExaminedByRequest = 600;  // endpoints: 7 x kMaxExamined, and to count the request
-constexpr std::size_t kMaxExaminedByUpdate = 250;   // endpoints: in five indexes, and of a small subset
+constexpr std::size_t kMaxExaminedByRequest =
+    600;  // endpoints: 7 x kMaxExaminedEndpoints, and to count the request
+constexpr std::size_t kMaxExaminedByUpdate = 250;  // endpoints: in five indexes, and of a small subset
 constexpr std::size_t kMaxBytesOfUpdate = 20000;
 
 std::uint64_t examined_endpoints(const TestReplica& replica) {
-  return replica.balancer.endpoints(replica.now).examined;
+  return replica.balancer.endpoint_metrics(replica.now).records_read;
 }
 
 // The digests are those of a balancer that examines every endpoint. They cover the log lines too.
@@ -126,7 +127,7 @@
     replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
   const std::uint64_t examined_before = examined_endpoints(replica);
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 27000U);
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now).listed, 27000U);
   EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the 27 of its subset
 }
 
@@ -256,7 +257,7 @@
     const std::uint64_t examined_before = examined_endpoints(replica);
     const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
     // Others are rejected before an endpoint is searched for.
-    if (examined_endpoints(replica) - examined_before >= 4 * kMaxExamined) ++searches;
+    if (examined_endpoints(replica) - examined_before >= 4 * kMaxExaminedEndpoints) ++searches;
     if (sent.empty()) continue;
     replica.end_attempt(id, Outcome::kSuccess);
     EXPECT_EQ(sent[0].endpoint, snapshot.endpoints[0].address);
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -11,7 +11,7 @@
   settings.requires_watch = true;
   settings.poll_within = 10;
   TestReplica replica(settings);
-  EXPECT_EQ(only<WatchEndpoints>(replica.handle(0, Started{})).size(), 1U);
+  EXPECT_EQ(only<WatchEndpoints>(replica.handle(0, ReplicaStarted{})).size(), 1U);
   double now = 0;
   for (int i = 0; i < 12; ++i) {
     const auto timers = only<SetTimer>(replica.handle(now, failed_watch()));
@@ -25,7 +25,7 @@
 
 TEST(EndpointWatch, IsNotRequestedWhenUpdatesArriveUnsolicited) {
   TestReplica replica(basic_settings());
-  EXPECT_TRUE(replica.handle(0, Started{}).empty());
+  EXPECT_TRUE(replica.handle(0, ReplicaStarted{}).empty());
   EXPECT_TRUE(replica.handle(0, failed_watch()).empty());
 }
 
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -98,8 +98,8 @@
   EndpointUpdate snapshot = make_snapshot(5);
   snapshot.endpoints[4].state = EndpointState::kDraining;
   replica.handle(0, snapshot);
-  EXPECT_EQ(replica.balancer.endpoints(0).listed, 5U);
-  EXPECT_EQ(replica.balancer.endpoints(0).unavailable, 1U) << "the draining one";
+  EXPECT_EQ(replica.balancer.endpoint_metrics(0).listed, 5U);
+  EXPECT_EQ(replica.balancer.endpoint_metrics(0).unavailable, 1U) << "the draining one";
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     replica.now += 0.02;
@@ -109,10 +109,11 @@
     const std::vector<SendAttempt> retry = only<SendAttempt>(replica.end_attempt(id, outcome));
     if (!retry.empty()) replica.end_attempt(id, Outcome::kSuccess, 1);
   }
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 2U) << "and the failing one";
-  EXPECT_EQ(replica.balancer.endpoints(replica.now + 60).unavailable, 1U) << "the failing one is readmitted";
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now).unavailable, 2U) << "and the failing one";
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now + 60).unavailable, 1U)
+      << "the failing one is readmitted";
   replica.handle(replica.now, make_update(make_endpoint(4), EndpointState::kRemoved));
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 4U);
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now).listed, 4U);
 }
 
 }  // namespace
--- a/tests/balancer/random_walk_test.cpp
+++ b/tests/balancer/random_walk_test.cpp
@@ -85,7 +85,7 @@
     replica_.emplace(settings_, random_.next());
     requests_.clear();
     listed_.clear();
-    handle(Started{});
+    handle(ReplicaStarted{});
     update_endpoints();
   }
 
--- a/tests/balancer/rate_limit_feedback_test.cpp
+++ b/tests/balancer/rate_limit_feedback_test.cpp
@@ -36,9 +36,9 @@
   replica.handle(0, make_snapshot(16));
   int sent_requests = 0;
   send_requests(replica, sent_requests, kRaisingTime, outcome, 0);
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_metrics(replica.now, 0).rate_limit;
   send_requests(replica, sent_requests, kFailingTime, outcome, failure_interval);
-  return replica.balancer.tenant(replica.now, 0).rate_limit / before;
+  return replica.balancer.tenant_metrics(replica.now, 0).rate_limit / before;
 }
 
 TEST(RateLimitFeedback, ErrorsAndResetConnectionsDoNotChangeRateLimit) {
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_TRUE(replica.end_attempt("never", Outcome::kSuccess).empty());
   EXPECT_TRUE(replica.handle(0, TimerFired{12345}).empty());
   EXPECT_TRUE(replica.handle(0, RequestAborted{"never"}).empty());
-  EXPECT_GE(replica.balancer.tenant(0, 1234).rate_limit, 0);
+  EXPECT_GE(replica.balancer.tenant_metrics(0, 1234).rate_limit, 0);
 }
 
 }  // namespace
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -72,7 +72,7 @@
       for (const std::size_t size : {3U, 8U}) {
         std::vector<int> uses(endpoints, 0);
         for (std::size_t replica = 0; replica < replicas; ++replica) {
-          const auto subset = subset_of(replica, replicas, endpoints, size);
+          const auto subset = subset_positions(replica, replicas, endpoints, size);
           const std::set<std::size_t> distinct(subset.begin(), subset.end());
           EXPECT_EQ(distinct.size(), std::min(size, endpoints));
           for (const std::size_t position : subset) ++uses[position];
--- a/tests/balancer/tenant_rate_limit_test.cpp
+++ b/tests/balancer/tenant_rate_limit_test.cpp
@@ -13,22 +13,22 @@
 TEST(TenantRateLimit, RisesWhileRequestsFinishInTime) {
   TestReplica replica(settings_with_quota(10));
   replica.handle(0, make_snapshot(4));
-  const double before = replica.balancer.tenant(0, 0).rate_limit;
+  const double before = replica.balancer.tenant_metrics(0, 0).rate_limit;
   send_steady_load(replica, 0, 10, before * 0.9, "a");
-  EXPECT_GT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before * 2);
+  EXPECT_GT(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, before * 2);
 }
 
 TEST(TenantRateLimit, DropsOnRejectionsButNotBelowQuota) {
   TestReplica replica(settings_with_quota(100));
   replica.handle(0, make_snapshot(4));
   send_steady_load(replica, 0, 40, 120, "up");
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_metrics(replica.now, 0).rate_limit;
   ASSERT_GT(before, 130);
   send_steady_load(replica, 40, 5, before, "a", Outcome::kRejected);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, before);
+  EXPECT_LT(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, before);
   send_steady_load(replica, 45, 60, 50, "b", Outcome::kRejected);
-  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 100);
+  EXPECT_GE(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, 100);
 }
 
 // Every sixth response exceeds the latency objective. Returns how many requests were rejected.
@@ -56,9 +56,9 @@
   TestReplica replica(settings_with_quota(100));
   replica.handle(0, make_snapshot(4));
   send_steady_load(replica, 0, 0.9, 200, "a", Outcome::kRejected);
-  const double lowered = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double lowered = replica.balancer.tenant_metrics(replica.now, 0).rate_limit;
   send_steady_load(replica, 0.9, 0.05, 200, "b", Outcome::kRejected);
-  EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, lowered);
+  EXPECT_DOUBLE_EQ(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, lowered);
 }
 
 // Without a quota the limit has no lower bound but the rate of the requests that succeed.
@@ -80,7 +80,7 @@
   replica.handle(0, make_snapshot(16));
   send_steady_load(replica, 0, 20, 40, "a");
   send_steady_load(replica, 20, 60, 40, "b", Outcome::kRejected);
-  EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
+  EXPECT_LT(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, 10);
 }
 
 TEST(TenantRateLimit, OverloadDoesNotLowerReplicaBelowItsQuota) {
@@ -89,7 +89,7 @@
   TestReplica replica(settings);
   replica.handle(0, make_snapshot(4));
   send_steady_load(replica, 0, 60, 3, "a", Outcome::kRejected);
-  EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 1);
+  EXPECT_GE(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, 1);
 }
 
 }  // namespace
--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -47,7 +47,7 @@
   const config::NodeConfig config = config::read_config(kConfiguration);
   ThrowingActions actions;
   BalancerHost host(io, config, actions);
-  host.post(balancer::Started{});
+  host.post(balancer::ReplicaStarted{});
   balancer::EndpointUpdate update;
   update.endpoints = {{.address = "s0"}};
   host.post(update);
--- a/tests/node_unit/poll_timeouts_test.cpp
+++ b/tests/node_unit/poll_timeouts_test.cpp
@@ -23,7 +23,7 @@
   double shortest = 1000;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     balancer::TestReplica replica(settings, seed);
-    replica.handle(0, balancer::Started{});
+    replica.handle(0, balancer::ReplicaStarted{});
     for (double now = 0; now < 20;) {
       const auto timers = balancer::only<balancer::SetTimer>(replica.handle(now, balancer::failed_watch()));
       EXPECT_EQ(timers.size(), 1U);
--- a/tests/support/random_event_stream.cpp
+++ b/tests/support/random_event_stream.cpp
@@ -37,7 +37,7 @@
 RandomEventStream::RandomEventStream(std::uint64_t seed, std::size_t endpoints)
     : random_(seed * 2654435761 + 1), replica_(settings_of(seed), seed), endpoints_(endpoints) {
   for (SimulatedEndpoint& endpoint : endpoints_) replace_endpoint(endpoint);
-  handle(Started{});
+  handle(ReplicaStarted{});
   handle(snapshot_of(is_ready));
 }
 
@@ -91,7 +91,7 @@
 }
 
 void RandomEventStream::observe_endpoints() {
-  const EndpointSetView view = replica_.balancer.endpoints(now_);
+  const EndpointMetrics view = replica_.balancer.endpoint_metrics(now_);
   digest_.add(view.listed);
   digest_.add(view.unavailable);
 }
--- a/tests/support/simulated_fleet/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet/simulated_fleet.cpp
@@ -130,7 +130,7 @@
 
 // A process starts: its first list is what discovery has now, a start of just now included.
 void SimulatedFleet::open_replica(std::size_t replica) {
-  handle(replica, Started{});
+  handle(replica, ReplicaStarted{});
   EndpointUpdate list;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     if (!servers_[i].running()) continue;
