--- a/node/dispatch/balancer_host.cpp
+++ b/node/dispatch/balancer_host.cpp
@@ -55,7 +55,7 @@
 }  // namespace
 
 BalancerHost::BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config,
-                           BalancerActions& actions)
+                           BalancerActionHandler& actions)
     : io_(io), action_handler_(actions), balancer_(config.settings, config.seed) {}
 
 balancer::EndpointSetView BalancerHost::endpoints() const { return balancer_.endpoints(now()); }
--- a/node/dispatch/balancer_host.h
+++ b/node/dispatch/balancer_host.h
@@ -12,9 +12,9 @@
 namespace asterdrift::node::dispatch {
 
 // Carries out the balancer's actions on requests and endpoints.
-class BalancerActions {
+class BalancerActionHandler {
  public:
-  virtual ~BalancerActions() = default;
+  virtual ~BalancerActionHandler() = default;
 
   virtual void run(const balancer::SendAttempt& action) = 0;
   virtual void run(const balancer::RejectRequest& action) = 0;
@@ -31,7 +31,7 @@
 class BalancerHost {
  public:
   // actions has to outlive the host.
-  BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config, BalancerActions& actions);
+  BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config, BalancerActionHandler& actions);
 
   // The balancer is not re-entered: an event that its actions cause is handled after them, before the
   // outermost call returns. An action that throws ends its own request alone: the others are carried out.
@@ -50,7 +50,7 @@
   void run(const balancer::LogLine& action);
 
   boost::asio::io_context& io_;
-  BalancerActions& action_handler_;
+  BalancerActionHandler& action_handler_;
   balancer::Balancer balancer_;
   std::deque<balancer::Event> events_;
   std::vector<balancer::Action> actions_;
--- a/node/dispatch/in_flight_request.cpp
+++ b/node/dispatch/in_flight_request.cpp
@@ -27,10 +27,11 @@
 bool InFlightRequest::may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
 
 bool InFlightRequest::may_send_last_attempt() const {
-  const upstream::UpstreamRequest& forwarded = *request.forwarded;
+  const upstream::UpstreamRequest& forwarded = *request.upstream_request;
   const bool another_is_open = std::any_of(attempts.begin(), attempts.end() - 1,
                                            [](const Attempt& attempt) { return attempt.is_open(); });
-  return forwarded.is_awaited() && !forwarded.rest_consumed && !(forwarded.body_rest && another_is_open);
+  return forwarded.is_response_awaited() && !forwarded.body_stream_consumed &&
+         !(forwarded.body_stream && another_is_open);
 }
 
 AttemptNumber InFlightRequest::add_attempt(double sent_at) {
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -13,7 +13,7 @@
 
 namespace asterdrift::node::dispatch {
 
-using ResponseCallback = std::function<void(Response&&)>;
+using ResponseCallback = std::function<void(DownstreamResponse&&)>;
 
 // One attempt of a request at a server.
 struct Attempt {
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -18,16 +18,16 @@
 // A valid request.
 struct DownstreamRequest {
   balancer::Request balancer_request;  // the dispatcher fills in id, time_left and body_arriving
-  std::shared_ptr<upstream::UpstreamRequest> forwarded;
-  std::string client_id;   // of the client's Request-Id header
-  double received_at = 0;  // when its last byte arrived, on the steady clock
-  double timeout = 0;      // s, from when the client sent its last byte
+  std::shared_ptr<upstream::UpstreamRequest> upstream_request;
+  std::string client_request_id;  // of the client's Request-Id header
+  double received_at = 0;         // when its last byte arrived, on the steady clock
+  double timeout = 0;             // s, from when the client sent its last byte
   // Whether the client has disconnected; empty where that is not known.
   std::function<bool()> has_client_disconnected;
 };
 
 // The final response.
-struct Response {
+struct DownstreamResponse {
   unsigned status = http::kInternalServerError;
   double retry_after = 0;  // s; 0: no header
   std::string body = {}, content_type = {};
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -29,7 +29,7 @@
 }
 
 bool is_expired(const DownstreamRequest& request) {
-  return request.forwarded->body_rest == nullptr && now() >= deadline_of(request).attempts_end_at();
+  return request.upstream_request->body_stream == nullptr && now() >= deadline_of(request).attempts_end_at();
 }
 
 balancer::EndpointUpdate update_of(const config::EndpointList& list) {
@@ -59,7 +59,7 @@
   apply_endpoints(*config_.known_endpoints);
   const auto timer =
       std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(now() + kFirstListTimeout));
-  timer->async_wait([this, timer](const error_code&) { list_is_current_ = true; });
+  timer->async_wait([this, timer](const error_code&) { endpoint_list_is_current_ = true; });
 }
 
 void RequestDispatcher::run(const balancer::SendAttempt& action) {
@@ -69,8 +69,9 @@
   if (!request->may_send_last_attempt()) {
     return handle_attempt_end(request->id, number, {Outcome::kNotSent, {}, {}, {}, 0});
   }
-  upstream::AttemptHandle handle = pool_.start(action.endpoint, request->request.forwarded, action.timeout,
-                                               action.write_within, attempt_callbacks(request->id, number));
+  upstream::AttemptHandle handle =
+      pool_.start(action.endpoint, request->request.upstream_request, action.timeout, action.write_within,
+                  attempt_callbacks(request->id, number));
   request->find_attempt(number)->handle = std::move(handle);
 }
 
@@ -111,7 +112,7 @@
 void RequestDispatcher::end_after_failure(InFlightRequest& request) {
   if (request.is_open()) {
     const ResponseCallback on_response = close(request);
-    on_response(request.may_have_run() ? Response{.status = kBadGateway} : rejection());
+    on_response(request.may_have_run() ? DownstreamResponse{.status = kBadGateway} : rejection_response());
   }
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const bool has_connection = !request.attempts[i].handle.connection.expired();
@@ -129,29 +130,29 @@
 RequestId RequestDispatcher::dispatch(DownstreamRequest request, ResponseCallback on_response) {
   const RequestId id = requests_.next_id();
   if (is_expired(request)) {  // it has waited behind another one, or in the socket
-    on_response(rejection());
+    on_response(rejection_response());
     return id;
   }
   request.balancer_request.id = to_text(id);
-  request.balancer_request.body_arriving = request.forwarded->body_rest != nullptr;
+  request.balancer_request.body_arriving = request.upstream_request->body_stream != nullptr;
   request.balancer_request.time_left = deadline_of(request).attempts_end_at() - now();
-  request.forwarded->is_awaited = [this, id] { return is_awaited(id); };
+  request.upstream_request->is_response_awaited = [this, id] { return is_response_awaited(id); };
   const auto in_flight =
       std::make_shared<InFlightRequest>(io_, id, std::move(request), std::move(on_response));
   requests_.insert(in_flight);
-  if (!in_flight->request.forwarded->body_rest) set_deadline(*in_flight);
+  if (!in_flight->request.upstream_request->body_stream) set_deadline(*in_flight);
   balancer_.post(in_flight->request.balancer_request);
   return id;
 }
 
-void RequestDispatcher::body_received(RequestId id, double received_at) {
+void RequestDispatcher::on_body_received(RequestId id, double received_at) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return;
   request->request.received_at = received_at;
   set_deadline(*request);
 }
 
-void RequestDispatcher::client_disconnected(RequestId id) {
+void RequestDispatcher::on_client_disconnected(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return;
   close(*request);
@@ -160,12 +161,12 @@
 
 // Whether a request is open and its client still connected. Checked before anything is sent: where the event
 // loop is late, it may handle what starts an attempt before it handles an earlier disconnection.
-bool RequestDispatcher::is_awaited(RequestId id) {
+bool RequestDispatcher::is_response_awaited(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return false;
   const auto& has_client_disconnected = request->request.has_client_disconnected;
   if (!has_client_disconnected || !has_client_disconnected()) return true;
-  client_disconnected(id);
+  on_client_disconnected(id);
   return false;
 }
 
@@ -181,7 +182,7 @@
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return;
   const ResponseCallback on_response = close(*request);
-  on_response(request->may_have_run() ? Response{.status = kGatewayTimeout} : rejection());
+  on_response(request->may_have_run() ? DownstreamResponse{.status = kGatewayTimeout} : rejection_response());
   abort(id);
 }
 
@@ -190,11 +191,11 @@
   requests_.remove_if_done(id);
 }
 
-void RequestDispatcher::expire_all() {
+void RequestDispatcher::expire_all_requests() {
   for (const RequestId id : requests_.ids()) expire(id);
 }
 
-Response RequestDispatcher::rejection() const {
+DownstreamResponse RequestDispatcher::rejection_response() const {
   return {.status = kServiceUnavailable, .retry_after = config_.settings.max_retry_after / 2};
 }
 
@@ -211,7 +212,7 @@
 }
 
 // A second response is discarded.
-void RequestDispatcher::respond(InFlightRequest& request, Response&& response) {
+void RequestDispatcher::respond(InFlightRequest& request, DownstreamResponse&& response) {
   if (!request.is_open()) return;
   const ResponseCallback on_response = close(request);
   on_response(std::move(response));
@@ -261,8 +262,8 @@
   balancer_.post(balancer::ResponseStarted{to_text(id), number, now() - sent_at});
 }
 
-void RequestDispatcher::apply(const config::EndpointList& list) {
-  list_is_current_ = true;
+void RequestDispatcher::on_endpoint_list(const config::EndpointList& list) {
+  endpoint_list_is_current_ = true;
   apply_endpoints(list);
 }
 
@@ -275,7 +276,7 @@
   for (const upstream::AttemptHandle& attempt : stopped) pool_.stop(attempt, Outcome::kNotSent);
 }
 
-void RequestDispatcher::handle_watch_failure() {
+void RequestDispatcher::on_watch_failed() {
   balancer::EndpointUpdate update;
   update.form = balancer::EndpointUpdate::Form::kWatchFailed;
   balancer_.post(std::move(update));
--- a/node/dispatch/request_dispatcher.h
+++ b/node/dispatch/request_dispatcher.h
@@ -17,7 +17,7 @@
 namespace asterdrift::node::dispatch {
 
 // Each request gets exactly one final response.
-class RequestDispatcher : private BalancerActions {
+class RequestDispatcher : private BalancerActionHandler {
  public:
   // watch: called where the balancer requests a watch on discovery. config has to outlive the dispatcher.
   RequestDispatcher(boost::asio::io_context& io, const config::NodeConfig& config,
@@ -28,31 +28,33 @@
 
   // Takes a request. on_response is called exactly once, perhaps before this returns, unless the client
   // disconnects first. Where the rest of the body is still arriving, the request's time counts from
-  // the arrival that body_received() tells.
+  // the arrival that on_body_received() tells.
   RequestId dispatch(DownstreamRequest request, ResponseCallback on_response);
   // received_at: when the last byte of the body arrived, on the steady clock.
-  void body_received(RequestId id, double received_at);
+  void on_body_received(RequestId id, double received_at);
 
   // Whether a request with this Request-Id header is in flight, or has open attempts.
-  bool is_in_flight(const std::string& client_id) const { return requests_.contains_client_id(client_id); }
+  bool is_in_flight(const std::string& client_request_id) const {
+    return requests_.contains_client_request_id(client_request_id);
+  }
 
   // The client has disconnected and awaits no response.
-  void client_disconnected(RequestId id);
+  void on_client_disconnected(RequestId id);
 
   // Responds to all open requests, as for a deadline that has passed.
-  void expire_all();
+  void expire_all_requests();
 
   // The response to requests that the node itself rejects.
-  Response rejection() const;
+  DownstreamResponse rejection_response() const;
 
-  void apply(const config::EndpointList& list);
-  void handle_watch_failure();
+  void on_endpoint_list(const config::EndpointList& list);
+  void on_watch_failed();
 
   // Whether requests can be served: there is an endpoint, and the endpoint list is current.
-  bool is_ready() const { return list_is_current_ && has_endpoints_; }
+  bool is_ready() const { return endpoint_list_is_current_ && has_endpoints_; }
   // Whether discovery has brought a list or has had the time to bring one. Until then the endpoints may be
   // older than those of which this process has been notified.
-  bool list_is_current() const { return list_is_current_; }
+  bool is_endpoint_list_current() const { return endpoint_list_is_current_; }
   void set_max_upstream_connections(std::size_t connections) { pool_.set_max_connections(connections); }
   balancer::EndpointSetView endpoints() const { return balancer_.endpoints(); }
 
@@ -67,12 +69,12 @@
   void on_attempt_result_handled(const balancer::AttemptResult& result) override;
 
   void set_deadline(InFlightRequest& request);
-  bool is_awaited(RequestId id);
+  bool is_response_awaited(RequestId id);
   void expire(RequestId id);
   void abort(RequestId id);
   void end_after_failure(InFlightRequest& request);
   ResponseCallback close(InFlightRequest& request);
-  void respond(InFlightRequest& request, Response&& response);
+  void respond(InFlightRequest& request, DownstreamResponse&& response);
 
   upstream::AttemptCallbacks attempt_callbacks(RequestId id, AttemptNumber number);
   void handle_attempt_end(RequestId id, AttemptNumber number, upstream::AttemptEnd&& end);
@@ -86,7 +88,7 @@
   const std::function<void()> watch_;
   const config::NodeConfig& config_;
   RequestTable requests_;
-  bool list_is_current_ = false, has_endpoints_ = false;
+  bool endpoint_list_is_current_ = false, has_endpoints_ = false;
 };
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_table.cpp
+++ b/node/dispatch/request_table.cpp
@@ -5,7 +5,7 @@
 namespace asterdrift::node::dispatch {
 
 void RequestTable::insert(const std::shared_ptr<InFlightRequest>& request) {
-  client_ids_.insert(request->request.client_id);
+  client_request_ids_.insert(request->request.client_request_id);
   requests_[request->id] = request;
 }
 
@@ -24,7 +24,7 @@
   if (it == requests_.end()) return;
   const InFlightRequest& request = *it->second;
   if (request.is_open() || request.has_open_attempts()) return;
-  client_ids_.erase(request.request.client_id);
+  client_request_ids_.erase(request.request.client_request_id);
   requests_.erase(it);
 }
 
--- a/node/dispatch/request_table.h
+++ b/node/dispatch/request_table.h
@@ -26,12 +26,14 @@
   void remove_if_done(RequestId id);
 
   // Whether a request with this Request-Id header is in flight, or has open attempts.
-  bool contains_client_id(const std::string& client_id) const { return client_ids_.contains(client_id); }
+  bool contains_client_request_id(const std::string& client_request_id) const {
+    return client_request_ids_.contains(client_request_id);
+  }
   std::vector<RequestId> ids() const;
 
  private:
   std::unordered_map<RequestId, std::shared_ptr<InFlightRequest>> requests_;
-  std::unordered_set<std::string> client_ids_;  // of all requests_
+  std::unordered_set<std::string> client_request_ids_;  // of all requests_
   std::uint64_t last_id_ = 0;
 };
 
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -199,7 +199,7 @@
   if (has_client_disconnected()) return close();
   reader_.finish_upload();
   enter(State::kWaiting);
-  if (request_id_) server_.dispatcher.body_received(*request_id_, input_.parsed_arrived_at());
+  if (request_id_) server_.dispatcher.on_body_received(*request_id_, input_.parsed_arrived_at());
   wait_readable();
 }
 
@@ -222,8 +222,8 @@
   if (reader_.method() != beast_http::verb::post && reader_.has_body()) {
     throw RequestError(kBadRequest, "a body where none belongs");
   }
-  server_.check_not_in_flight(reader_.api_request()->client_id);
-  if (server_.is_overloaded() || !server_.dispatcher.list_is_current())
+  server_.check_not_in_flight(reader_.api_request()->client_request_id);
+  if (server_.is_overloaded() || !server_.dispatcher.is_endpoint_list_current())
     throw RequestError(kServiceUnavailable);
   // The request may have waited in the socket for longer than its client did.
   if (has_client_disconnected()) {
@@ -238,7 +238,7 @@
   wait_readable();
   is_dispatching_ = true;
   const dispatch::RequestId id = server_.dispatcher.dispatch(
-      std::move(request), [self = shared_from_this()](dispatch::Response&& response) {
+      std::move(request), [self = shared_from_this()](dispatch::DownstreamResponse&& response) {
         self->handle_response(std::move(response));
       });
   is_dispatching_ = false;
@@ -258,10 +258,10 @@
 
 // The client awaits no response any more.
 void Connection::withdraw_request() {
-  if (request_id_) server_.dispatcher.client_disconnected(*request_id_);
+  if (request_id_) server_.dispatcher.on_client_disconnected(*request_id_);
 }
 
-void Connection::handle_response(dispatch::Response&& response) {
+void Connection::handle_response(dispatch::DownstreamResponse&& response) {
   if (!awaits_response()) {
     if (response.streamed_body) response.streamed_body->abandon();
     return;
@@ -270,8 +270,8 @@
 }
 
 void Connection::reject(const RequestError& error) {
-  dispatch::Response response{.status = error.status()};
-  if (error.status() == kServiceUnavailable) response = server_.dispatcher.rejection();
+  dispatch::DownstreamResponse response{.status = error.status()};
+  if (error.status() == kServiceUnavailable) response = server_.dispatcher.rejection_response();
   if (is_in(State::kUploading)) withdraw_request();
   const std::string message = error.what();
   if (!message.empty()) {
@@ -281,7 +281,7 @@
   respond(std::move(response), true);
 }
 
-void Connection::respond(dispatch::Response&& response, bool close_connection) {
+void Connection::respond(dispatch::DownstreamResponse&& response, bool close_connection) {
   // The rest of an upload is not read, so that the start of the next request is not known.
   const bool is_uploading = is_in(State::kUploading);
   const bool client_reads_chunks = reader_.client_reads_chunks();
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -71,10 +71,10 @@
   bool dispatch(State next);
   dispatch::DownstreamRequest take_request();
   void withdraw_request();
-  void handle_response(dispatch::Response&& response);
+  void handle_response(dispatch::DownstreamResponse&& response);
 
   void reject(const RequestError& error);
-  void respond(dispatch::Response&& response, bool close_connection = false);
+  void respond(dispatch::DownstreamResponse&& response, bool close_connection = false);
   bool must_close() const;
   void begin_closing();
 
--- a/node/downstream/connection_evictor.cpp
+++ b/node/downstream/connection_evictor.cpp
@@ -85,7 +85,7 @@
 }
 
 void ConnectionEvictor::record(State state, double since) {
-  log_.record({.state = state,
+  log_.record({.connection_state = state,
                .is_recent = now() - since < kInactiveAge,
                .client_is_waiting = reason_ == Reason::kClientIsWaiting});
 }
--- a/node/downstream/connection_evictor.h
+++ b/node/downstream/connection_evictor.h
@@ -24,7 +24,7 @@
   double next_eviction_at() const;
 
  private:
-  using State = telemetry::Eviction::State;
+  using State = telemetry::Eviction::ConnectionState;
 
   template <class IsOldEnough>
   bool evict_idle(ConnectionList& list, State state, const IsOldEnough& is_old_enough);
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -48,7 +48,7 @@
   if (RequestValidator::path_of(head) == "/api") {
     request_.emplace(server_.validator.read(head));
     request_class_ = request_->balancer_request.request_class;
-    server_.check_not_in_flight(request_->client_id);
+    server_.check_not_in_flight(request_->client_request_id);
   }
   const std::uint64_t length =
       std::min<std::uint64_t>(parser_->content_length().value_or(0), memory::kMaxBufferedBodyBytes);
@@ -83,25 +83,25 @@
 }
 
 dispatch::DownstreamRequest RequestReader::take_api_request() {
-  set_forwarded_body(*request_->forwarded);
+  set_upstream_body(*request_->upstream_request);
   dispatch::DownstreamRequest request = std::move(*request_);
   request_.reset();
   return request;
 }
 
-void RequestReader::set_forwarded_body(upstream::UpstreamRequest& forwarded) {
+void RequestReader::set_upstream_body(upstream::UpstreamRequest& upstream_request) {
   std::string& body = parser_->body();
   const auto length = parser_->content_length();
   if (upload_ && !length) {
-    forwarded.head += "Transfer-Encoding: chunked\r\n";
-    forwarded.is_chunked = true;
+    upstream_request.head += "Transfer-Encoding: chunked\r\n";
+    upstream_request.is_chunked = true;
   } else if (parser_->method() == beast_http::verb::post) {
-    forwarded.head += "Content-Length: " + std::to_string(upload_ ? *length : body.size()) + "\r\n";
+    upstream_request.head += "Content-Length: " + std::to_string(upload_ ? *length : body.size()) + "\r\n";
   }
-  forwarded.body = std::move(body);
+  upstream_request.buffered_body = std::move(body);
   body.clear();
-  forwarded.body_reservation = std::exchange(body_reservation_, {});
-  forwarded.body_rest = upload_;
+  upstream_request.body_reservation = std::exchange(body_reservation_, {});
+  upstream_request.body_stream = upload_;
 }
 
 void RequestReader::finish_upload() {
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -79,7 +79,7 @@
   void handle_head();
   bool handle_body();
   void begin_upload();
-  void set_forwarded_body(upstream::UpstreamRequest& forwarded);
+  void set_upstream_body(upstream::UpstreamRequest& upstream_request);
 
   ServerState& server_;
   Callbacks callbacks_;
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -117,8 +117,8 @@
 dispatch::DownstreamRequest RequestValidator::read(const Head& head) const {
   check_interpreted_headers(head);
   dispatch::DownstreamRequest out;
-  out.client_id = std::string(view(head["Request-Id"]));
-  if (out.client_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
+  out.client_request_id = std::string(view(head["Request-Id"]));
+  if (out.client_request_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
   out.balancer_request.request_class = read_class(head);
   out.balancer_request.tenant = read_tenant(head);
   const balancer::RequestClass& request_class = classes_[out.balancer_request.request_class];
@@ -126,7 +126,7 @@
   out.timeout = read_timeout(head, request_class.timeout);
   out.balancer_request.announced_work = read_announced_work(head);
   out.balancer_request.is_client_retry = head["Client-Retry"] == "1";
-  out.forwarded = forwarded_request(head);
+  out.upstream_request = forwarded_request(head);
   return out;
 }
 
--- a/node/downstream/response_sender.cpp
+++ b/node/downstream/response_sender.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void ResponseSender::send(dispatch::Response&& response, const ResponseWriter::Options& options) {
+void ResponseSender::send(dispatch::DownstreamResponse&& response, const ResponseWriter::Options& options) {
   writer_.begin(std::move(response), options);
   is_sending_ = true;
   if (writer_.stream()) forward_stream();
--- a/node/downstream/response_sender.h
+++ b/node/downstream/response_sender.h
@@ -34,7 +34,7 @@
   ResponseSender(ResponseSenderOwner& owner, boost::asio::ip::tcp::socket& socket)
       : owner_(owner), socket_(socket) {}
 
-  void send(dispatch::Response&& response, const ResponseWriter::Options& options);
+  void send(dispatch::DownstreamResponse&& response, const ResponseWriter::Options& options);
   // Abandons the response.
   void stop();
 
--- a/node/downstream/response_writer.cpp
+++ b/node/downstream/response_writer.cpp
@@ -9,7 +9,7 @@
 namespace asterdrift::node::downstream {
 namespace {
 
-bool has_unknown_length(const dispatch::Response& response) {
+bool has_unknown_length(const dispatch::DownstreamResponse& response) {
   return response.streamed_body && !response.content_length;
 }
 
@@ -19,7 +19,7 @@
   return text.data();
 }
 
-std::string head_of(const dispatch::Response& response, bool close_connection, bool is_chunked) {
+std::string head_of(const dispatch::DownstreamResponse& response, bool close_connection, bool is_chunked) {
   std::string head = http::status_line(response.status);
   if (is_chunked) {
     head += "Transfer-Encoding: chunked\r\n";
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-bool ends_with_connection(const dispatch::Response& response, bool client_reads_chunks) {
+bool ends_with_connection(const dispatch::DownstreamResponse& response, bool client_reads_chunks) {
   return has_unknown_length(response) && !client_reads_chunks;
 }
 
-void ResponseWriter::begin(dispatch::Response&& response, const Options& options) {
+void ResponseWriter::begin(dispatch::DownstreamResponse&& response, const Options& options) {
   is_chunked_ = has_unknown_length(response) && options.client_reads_chunks;
   piece_ = head_of(response, options.close_connection, is_chunked_);
   response_ = std::move(response);
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -27,7 +27,7 @@
     bool head_only = false;            // the response to a HEAD request
   };
 
-  void begin(dispatch::Response&& response, const Options& options);
+  void begin(dispatch::DownstreamResponse&& response, const Options& options);
   void reset();
 
   // The current piece.
@@ -41,14 +41,14 @@
   void abandon();
 
  private:
-  std::string piece_;            // the head, or bytes of a streamed body
-  dispatch::Response response_;  // its body is written behind the head
+  std::string piece_;                      // the head, or bytes of a streamed body
+  dispatch::DownstreamResponse response_;  // its body is written behind the head
   bool has_body_ = false;
   bool is_chunked_ = false;
   std::shared_ptr<memory::BodyStream> stream_;
 };
 
 // Whether only the end of the connection marks the end of the response.
-bool ends_with_connection(const dispatch::Response& response, bool client_reads_chunks);
+bool ends_with_connection(const dispatch::DownstreamResponse& response, bool client_reads_chunks);
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -71,8 +71,8 @@
   bool has_too_many_connections() const { return connections > max_connections; }
   // Throws RequestError where a request with this client's id is in flight: a second one might run twice, or
   // its response might go to the wrong client.
-  void check_not_in_flight(const std::string& client_id) const {
-    if (dispatcher.is_in_flight(client_id)) throw RequestError(kConflict, "this Request-Id is open");
+  void check_not_in_flight(const std::string& client_request_id) const {
+    if (dispatcher.is_in_flight(client_request_id)) throw RequestError(kConflict, "this Request-Id is open");
   }
 
   boost::asio::io_context& io;
--- a/node/process/graceful_shutdown.cpp
+++ b/node/process/graceful_shutdown.cpp
@@ -71,7 +71,7 @@
   if (may_stop_accepting(elapsed, is_replaced)) stop_accepting();
   if (elapsed >= close_idle_time(is_replaced)) server_.close_idle();
   if (elapsed >= final_response_time_) {
-    dispatcher_.expire_all();
+    dispatcher_.expire_all_requests();
     server_.reject_partial_requests();
   }
   if (is_drained(elapsed, is_replaced)) {
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -7,7 +7,7 @@
 namespace asterdrift::node::telemetry {
 namespace {
 
-// By Eviction::State.
+// By Eviction::ConnectionState.
 constexpr std::array kEvictionStateNames = {"new", "idle", "partial_request", "closing"};
 
 using http::kOk;
@@ -43,7 +43,7 @@
 }
 
 void Metrics::count_eviction(const Eviction& eviction) {
-  EvictionCounters& counters = evictions_.at(static_cast<std::size_t>(eviction.state));
+  EvictionCounters& counters = evictions_.at(static_cast<std::size_t>(eviction.connection_state));
   ++(eviction.is_recent ? counters.recent : counters.older);
   if (!eviction.client_is_waiting) ++evictions_without_waiting_client_;
 }
--- a/node/telemetry/metrics.h
+++ b/node/telemetry/metrics.h
@@ -11,14 +11,14 @@
 
 // A client's connection that was closed to make room for others.
 struct Eviction {
-  enum class State {
+  enum class ConnectionState {
     kNew,             // had sent nothing
     kIdle,            // had had a response, and had sent nothing since
     kPartialRequest,  // had sent a part of a request
     kClosing          // had had its last response
   };
 
-  State state = State::kNew;
+  ConnectionState connection_state = ConnectionState::kNew;
   bool is_recent = false;  // it had been in this state for a moment only
   bool client_is_waiting = false;
 };
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -15,14 +15,14 @@
 
 // A request as it is forwarded to a server. Shared by the attempts of one request.
 struct UpstreamRequest {
-  std::string head;  // request line and headers, without Request-Timeout-Ms and the empty line
-  std::string body;  // complete, or its first bytes
+  std::string head;           // request line and headers, without Request-Timeout-Ms and the empty line
+  std::string buffered_body;  // complete, or its first bytes
   memory::MemoryReservation body_reservation;
-  std::shared_ptr<memory::BodyStream> body_rest;  // the bytes that the client still sends; null: none
-  bool is_chunked = false;                        // the length of the body is not known
-  bool rest_consumed = false;                     // some of body_rest has been sent, and is not buffered
+  std::shared_ptr<memory::BodyStream> body_stream;  // the bytes that the client still sends; null: none
+  bool is_chunked = false;                          // the length of the body is not known
+  bool body_stream_consumed = false;                // some of body_stream has been sent, and is not buffered
   // Whether the client still awaits a response; called before bytes are sent. May end the request's attempts.
-  std::function<bool()> is_awaited;
+  std::function<bool()> is_response_awaited;
 };
 
 // How an attempt has ended.
@@ -45,7 +45,7 @@
 struct AttemptCallbacks {
   std::function<void(AttemptEnd&&)> on_end;  // exactly once
   std::function<void(StreamedResponse&&)> on_response_started;
-  std::function<void()> on_body_consumed;  // UpstreamRequest::rest_consumed is true from now on
+  std::function<void()> on_body_consumed;  // UpstreamRequest::body_stream_consumed is true from now on
   std::function<void()> on_request_sent;   // the last byte, where the rest took the client's time
 };
 
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -69,7 +69,7 @@
   timer_.on_progress();
   set_timer(std::min(timer_.timeout_at(), timer_.write_by()));
   sender_.begin(request_);
-  if (request_->body_rest) {
+  if (request_->body_stream) {
     wait_for_rest();
     wait_readable();  // a server may respond before it has the complete request
   }
@@ -77,7 +77,7 @@
 }
 
 void Connection::wait_for_rest() {
-  request_->body_rest->on_readable([self = weak_from_this(), serial = serial_] {
+  request_->body_stream->on_readable([self = weak_from_this(), serial = serial_] {
     const auto connection = self.lock();
     if (!connection || serial != connection->serial_) return;
     if (connection->state_ != State::kWriting || connection->is_blocked_) return;
@@ -152,7 +152,7 @@
 // When the attempt ends, as things are. The duration of a streamed body depends on its client and its size,
 // so that no timeout applies to it, only one to the lack of progress.
 double Connection::deadline() const {
-  const bool is_streaming = response_.is_streaming() || (state_ == State::kWriting && request_->body_rest);
+  const bool is_streaming = response_.is_streaming() || (state_ == State::kWriting && request_->body_stream);
   if (!is_streaming) return timer_.timeout_at();
   return timer_.stall_timeout_at(response_.is_streaming() ? response_.is_stream_full() : !is_blocked_);
 }
@@ -171,7 +171,8 @@
 void Connection::write() {
   // No attempt may begin for a client that has disconnected, also where that has not been noticed yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
-  const bool is_awaited = response_.is_streaming() || !request->is_awaited || request->is_awaited();
+  const bool is_awaited =
+      response_.is_streaming() || !request->is_response_awaited || request->is_response_awaited();
   if (!is_awaited) return stop(serial_, Outcome::kNotSent);
   switch (sender_.send(callbacks_.on_body_consumed)) {
     case RequestSender::Result::kComplete:
@@ -191,7 +192,7 @@
 void Connection::on_request_written() {
   state_ = State::kReading;
   owner_.metrics.count_attempt();
-  if (request_->body_rest) {
+  if (request_->body_stream) {
     sent_at_ = now();
     timer_.restart_timeout(sent_at_);
     set_timer(timer_.timeout_at());
--- a/node/upstream/request_sender.cpp
+++ b/node/upstream/request_sender.cpp
@@ -20,10 +20,10 @@
 RequestSender::Result RequestSender::send(const std::function<void()>& on_body_consumed) {
   for (;;) {
     if (const std::optional<Result> stopped = write_piece()) return *stopped;
-    const bool was_consumed = request_->rest_consumed;
+    const bool was_consumed = request_->body_stream_consumed;
     switch (writer_.next()) {
       case RequestWriter::Next::kPiece:
-        if (request_->rest_consumed && !was_consumed) on_body_consumed();
+        if (request_->body_stream_consumed && !was_consumed) on_body_consumed();
         break;
       case RequestWriter::Next::kWait:
         return Result::kAwaitsClient;
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -12,9 +12,9 @@
   is_last_piece_ = false;
   owned_ = request_->head;
   owned_ += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n\r\n";
-  borrowed_ = request_->body;
+  borrowed_ = request_->buffered_body;
   if (request_->is_chunked) {  // the buffered bytes are the first chunk
-    owned_ += http::chunk_of(request_->body);
+    owned_ += http::chunk_of(request_->buffered_body);
     borrowed_ = {};
   }
 }
@@ -33,7 +33,7 @@
 }
 
 RequestWriter::Next RequestWriter::next() {
-  memory::BodyStream* const rest = request_->body_rest.get();
+  memory::BodyStream* const rest = request_->body_stream.get();
   if (rest == nullptr || is_last_piece_) {
     std::string().swap(owned_);
     borrowed_ = {};
@@ -49,7 +49,7 @@
     owned_ = request_->is_chunked ? http::kLastChunk : std::string_view();
     return owned_.empty() ? next() : Next::kPiece;
   }
-  request_->rest_consumed = true;
+  request_->body_stream_consumed = true;
   owned_ = request_->is_chunked ? http::chunk_of(rest->read()) : rest->read();
   return Next::kPiece;
 }
--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_writer.h
@@ -31,7 +31,7 @@
   bool piece_is_written() const { return written_ >= owned_.size() + borrowed_.size(); }
   void advance(std::size_t bytes) { written_ += bytes; }
 
-  // After a piece has been written. The first piece of body_rest marks it as consumed.
+  // After a piece has been written. The first piece of body_stream marks it as consumed.
   Next next();
 
  private:
--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -19,7 +19,7 @@
     R"("categories":[{"name":"c","aim":1,"giveUp":2,"effect":"unsafe"}]}})";
 
 // Records the actions, and throws from those that fail a request.
-class ThrowingActions : public BalancerActions {
+class ThrowingActions : public BalancerActionHandler {
  public:
   void run(const balancer::SendAttempt& action) override { sent.push_back(action.id); }
   void run(const balancer::RejectRequest&) override {}
