--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -38,7 +38,7 @@
   int admitted_at_end = 0;
   for (int i = 0; i < static_cast<int>(requests); ++i) {
     replica.now = i / requests;
-    const bool admitted = !only<SendAttempt>(replica.request("r" + std::to_string(i))).empty();
+    const bool admitted = !actions_of_type<SendAttempt>(replica.request("r" + std::to_string(i))).empty();
     if (i > requests * 0.9 && admitted) ++admitted_at_end;
   }
   EXPECT_EQ(admitted_at_end, 0);
@@ -61,7 +61,7 @@
   for (int i = 0; i < requests; ++i) {
     replica.now = time;
     const std::string id = prefix + std::to_string(i);
-    if (only<SendAttempt>(replica.request(id)).empty()) continue;
+    if (actions_of_type<SendAttempt>(replica.request(id)).empty()) continue;
     ++admitted;
     replica.end_attempt(id, Outcome::kSuccess);
   }
@@ -91,9 +91,10 @@
     replica.now = 0.001 * i;
     const std::string id = "r" + std::to_string(i);
     const auto actions = replica.request(id);
-    EXPECT_EQ(only<RejectRequest>(actions).size() + only<SendAttempt>(actions).size(), 1U);
-    rejected += static_cast<int>(only<RejectRequest>(actions).size());
-    if (!only<SendAttempt>(actions).empty()) replica.end_attempt(id, Outcome::kSuccess);
+    EXPECT_EQ(actions_of_type<RejectRequest>(actions).size() + actions_of_type<SendAttempt>(actions).size(),
+              1U);
+    rejected += static_cast<int>(actions_of_type<RejectRequest>(actions).size());
+    if (!actions_of_type<SendAttempt>(actions).empty()) replica.end_attempt(id, Outcome::kSuccess);
   }
   EXPECT_GT(rejected, 300);
   EXPECT_EQ(replica.balancer.tenant(replica.now, 0).declined, rejected);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -19,7 +19,7 @@
   request.id = id;
   request.time_left = 6;
   request.body_arriving = true;
-  const std::vector<SendAttempt> sent = only<SendAttempt>(replica.handle(replica.now, request));
+  const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.handle(replica.now, request));
   return sent.empty() ? "" : sent[0].endpoint;
 }
 
@@ -31,8 +31,8 @@
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.01;
     const auto actions = replica.request(std::to_string(i));
-    sent += static_cast<int>(only<SendAttempt>(actions).size());
-    rejected += static_cast<int>(only<RejectRequest>(actions).size());
+    sent += static_cast<int>(actions_of_type<SendAttempt>(actions).size());
+    rejected += static_cast<int>(actions_of_type<RejectRequest>(actions).size());
   }
   EXPECT_EQ(sent + rejected, 300);
   EXPECT_GT(sent, 3);
@@ -47,9 +47,9 @@
     sent += request_with_arriving_body(replica, std::to_string(i)).empty() ? 0 : 1;
   EXPECT_EQ(sent, 500) << "slow clients do not use up the limit";
   for (int i = 0; i < 500; ++i) replica.handle(1, RequestBodySent{std::to_string(i), 0});
-  EXPECT_TRUE(only<SendAttempt>(replica.request("next")).empty()) << "complete requests count";
+  EXPECT_TRUE(actions_of_type<SendAttempt>(replica.request("next")).empty()) << "complete requests count";
   for (int i = 0; i < 500; ++i) replica.end_attempt(std::to_string(i), Outcome::kCancelled);
-  EXPECT_FALSE(only<SendAttempt>(replica.request("after")).empty());
+  EXPECT_FALSE(actions_of_type<SendAttempt>(replica.request("after")).empty());
 }
 
 TEST(ConcurrencyLimit, ReusedSlotIsNotChargedForEarlierEndpoint) {
@@ -62,7 +62,7 @@
   replica.handle(1, RequestBodySent{"a", 0});
   replica.end_attempt("a", Outcome::kServerError);
   for (int i = 0; i < 3; ++i)
-    EXPECT_FALSE(only<SendAttempt>(replica.request("b" + std::to_string(i))).empty());
+    EXPECT_FALSE(actions_of_type<SendAttempt>(replica.request("b" + std::to_string(i))).empty());
 }
 
 TEST(ConcurrencyLimit, StreamedResponseCountsFromItsFirstByte) {
@@ -71,7 +71,7 @@
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     replica.now += 0.05;
-    ASSERT_FALSE(only<SendAttempt>(replica.request(id)).empty()) << i;
+    ASSERT_FALSE(actions_of_type<SendAttempt>(replica.request(id)).empty()) << i;
     replica.handle(replica.now, ResponseStarted{id, 0, 0.1});
     if (i >= 100) replica.end_attempt(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // a long transfer
   }
@@ -88,7 +88,7 @@
     TestReplica replica(settings, static_cast<std::uint64_t>(index) + 1);
     replica.handle(0, make_snapshot(10));
     for (int i = 0; i < 100; ++i) {
-      for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
+      for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(std::to_string(i))))
         ++in_flight[send.endpoint];
     }
   }
@@ -102,7 +102,8 @@
   settings.tier = 1;
   TestReplica replica(settings);
   replica.handle(0, make_snapshot(3));
-  for (int i = 0; i < 300; ++i) EXPECT_EQ(only<SendAttempt>(replica.request(std::to_string(i))).size(), 1U);
+  for (int i = 0; i < 300; ++i)
+    EXPECT_EQ(actions_of_type<SendAttempt>(replica.request(std::to_string(i))).size(), 1U);
 }
 
 // One of many replicas, with its share of the fleet's requests.
@@ -134,8 +135,8 @@
       end_due_attempts(now);
       replica_.now = now;
       const auto actions = replica_.request(std::to_string(number));
-      counts_.admitted += static_cast<int>(only<SendAttempt>(actions).size());
-      counts_.rejected += static_cast<int>(only<RejectRequest>(actions).size());
+      counts_.admitted += static_cast<int>(actions_of_type<SendAttempt>(actions).size());
+      counts_.rejected += static_cast<int>(actions_of_type<RejectRequest>(actions).size());
       send(actions, number, 0);
     }
     return counts_;
@@ -157,7 +158,7 @@
   }
 
   void send(const std::vector<Action>& actions, int number, int attempt) {
-    for (const SendAttempt& send : only<SendAttempt>(actions)) {
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(actions)) {
       const double latency = traffic_.latency * (number % 4 == 0 ? 2.5 : 0.5);
       const double elapsed = std::min(latency, send.timeout);
       const Outcome outcome = latency >= send.timeout ? Outcome::kTimedOut : Outcome::kSuccess;
--- a/tests/balancer/connect_failure_test.cpp
+++ b/tests/balancer/connect_failure_test.cpp
@@ -13,7 +13,7 @@
 int count_attempts(TestReplica& replica, const std::string& id, const std::vector<Outcome>& outcomes) {
   int attempts = 0;
   auto actions = replica.request(id);
-  while (!only<SendAttempt>(actions).empty()) {
+  while (!actions_of_type<SendAttempt>(actions).empty()) {
     const auto index = static_cast<std::size_t>(attempts);
     const Outcome outcome = index < outcomes.size() ? outcomes[index] : Outcome::kSuccess;
     actions = replica.end_attempt(id, outcome, attempts);
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -171,7 +171,7 @@
 // Adds the attempts up.
 void expect_attempts_at_ready_endpoints(const std::vector<Action>& actions, const ReferenceEndpointList& list,
                                         std::size_t& attempts) {
-  for (const SendAttempt& send : only<SendAttempt>(actions)) {
+  for (const SendAttempt& send : actions_of_type<SendAttempt>(actions)) {
     ++attempts;
     const auto endpoint = list.endpoints().find(send.endpoint);
     ASSERT_TRUE(endpoint != list.endpoints().end() && endpoint->second.state == EndpointState::kReady)
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -96,7 +96,7 @@
   std::uint64_t examined_before = examined_endpoints(replica);
   std::vector<Action> actions = replica.request(id);
   ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByRequest);
-  for (int attempt = 0; !only<SendAttempt>(actions).empty(); ++attempt) {
+  for (int attempt = 0; !actions_of_type<SendAttempt>(actions).empty(); ++attempt) {
     replica.now += 0.001;
     examined_before = examined_endpoints(replica);
     actions = replica.end_attempt(id, Outcome::kConnectionReset, attempt);
@@ -136,7 +136,8 @@
   for (int i = 0; i < requests; ++i) {
     replica.now += 0.01;
     const std::string id = "healthy" + std::to_string(i);
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) used.insert(send.endpoint);
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(id)))
+      used.insert(send.endpoint);
     replica.end_attempt(id, Outcome::kSuccess);
   }
   return used;
@@ -160,7 +161,7 @@
     return;
   }
   if (fault == SubsetFault::kUnresponsive) return;
-  const bool retried = !only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError)).empty();
+  const bool retried = !actions_of_type<SendAttempt>(replica.end_attempt(id, Outcome::kServerError)).empty();
   replica.end_attempt(id, Outcome::kSuccess, retried ? 1 : 0);
 }
 
@@ -178,7 +179,7 @@
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.01;
       const std::string id = name + std::to_string(i);
-      const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
+      const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U) << name;
       const bool in_subset = subset.contains(sent[0].endpoint);
       ++(in_subset ? at_faulty : at_healthy);
@@ -223,13 +224,13 @@
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.5;
       const std::string id = std::to_string(i);
-      const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
+      const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U);
       if (sent[0].endpoint != fleet.in_subset) {
         replica.end_attempt(id, Outcome::kSuccess);
         continue;
       }
-      const auto retry = only<SendAttempt>(replica.end_attempt(id, Outcome::kConnectionReset));
+      const auto retry = actions_of_type<SendAttempt>(replica.end_attempt(id, Outcome::kConnectionReset));
       if (retry.empty()) continue;  // the retry budget is used up
       EXPECT_EQ(retry[0].endpoint, fleet.other);
       replica.end_attempt(id, Outcome::kSuccess, 1);
@@ -254,7 +255,7 @@
     replica.now += 0.01;
     const std::string id = std::to_string(i);
     const std::uint64_t examined_before = examined_endpoints(replica);
-    const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
+    const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
     // Others are rejected before an endpoint is searched for.
     if (examined_endpoints(replica) - examined_before >= 4 * kMaxExamined) ++searches;
     if (sent.empty()) continue;
--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -14,7 +14,7 @@
   replica.handle(0, make_snapshot(2));
   std::map<std::string, int> in_flight;
   for (int i = 0; i < 10; ++i) {
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(std::to_string(i))))
       ++in_flight[send.endpoint];
   }
   EXPECT_EQ(in_flight["s0"], 5);
@@ -30,7 +30,7 @@
   std::map<std::string, int> attempts;
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.4;
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(std::to_string(i))))
       ++attempts[send.endpoint];
     replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
@@ -44,7 +44,7 @@
     replica.handle(5, make_snapshot(12));
     std::string selected;
     for (int i = 0; i < 200; ++i) {
-      for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
+      for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(std::to_string(i))))
         selected += send.endpoint + " ";
     }
     return selected;
--- a/tests/balancer/endpoint_update_test.cpp
+++ b/tests/balancer/endpoint_update_test.cpp
@@ -16,7 +16,8 @@
   Addresses used;
   for (int i = 0; i < 50; ++i) {
     const std::string id = id_prefix + std::to_string(i);
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) used.insert(send.endpoint);
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(id)))
+      used.insert(send.endpoint);
     replica.end_attempt(id, Outcome::kSuccess);
   }
   return used;
@@ -39,7 +40,7 @@
   replica.handle(0, make_snapshot(3));
   replica.handle(1, make_snapshot(2));
   EXPECT_EQ(used_endpoints(replica, "a"), (Addresses{"s0", "s1"}));
-  replica.handle(2, failed_watch());
+  replica.handle(2, make_watch_failure());
   EXPECT_EQ(used_endpoints(replica, "b"), (Addresses{"s0", "s1"}));
 }
 
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -11,22 +11,22 @@
   settings.requires_watch = true;
   settings.poll_within = 10;
   TestReplica replica(settings);
-  EXPECT_EQ(only<WatchEndpoints>(replica.handle(0, Started{})).size(), 1U);
+  EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(0, Started{})).size(), 1U);
   double now = 0;
   for (int i = 0; i < 12; ++i) {
-    const auto timers = only<SetTimer>(replica.handle(now, failed_watch()));
+    const auto timers = actions_of_type<SetTimer>(replica.handle(now, make_watch_failure()));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_GT(timers[0].at, now);
     EXPECT_LE(timers[0].at, now + 5) << "within the time after which an update counts as notified";
     now = timers[0].at;
-    EXPECT_EQ(only<WatchEndpoints>(replica.handle(now, TimerFired{timers[0].token})).size(), 1U);
+    EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(now, TimerFired{timers[0].token})).size(), 1U);
   }
 }
 
 TEST(EndpointWatch, IsNotRequestedWhenUpdatesArriveUnsolicited) {
   TestReplica replica(basic_settings());
   EXPECT_TRUE(replica.handle(0, Started{}).empty());
-  EXPECT_TRUE(replica.handle(0, failed_watch()).empty());
+  EXPECT_TRUE(replica.handle(0, make_watch_failure()).empty());
 }
 
 }  // namespace
--- a/tests/balancer/final_response_test.cpp
+++ b/tests/balancer/final_response_test.cpp
@@ -22,13 +22,13 @@
   for (const Outcome outcome : kFailureOutcomes) {
     for (const bool client_departs_first : {false, true}) {
       TestReplica replica = replica_without_retries();
-      ASSERT_EQ(only<SendAttempt>(replica.request("r")).size(), 1U);
+      ASSERT_EQ(actions_of_type<SendAttempt>(replica.request("r")).size(), 1U);
       replica.now = 1;
       std::vector<Action> actions;
       if (client_departs_first) {
         actions = replica.handle(1, RequestAborted{"r"});
         EXPECT_EQ(count_final_responses(actions), 0U);
-        EXPECT_EQ(only<CancelAttempt>(actions).size(), 1U);
+        EXPECT_EQ(actions_of_type<CancelAttempt>(actions).size(), 1U);
         actions = replica.end_attempt("r", outcome);
         EXPECT_EQ(count_final_responses(actions), 0U);
       } else {
@@ -36,7 +36,7 @@
         EXPECT_EQ(count_final_responses(actions), 1U);
         EXPECT_TRUE(replica.handle(1, RequestAborted{"r"}).empty());
       }
-      EXPECT_TRUE(only<SendAttempt>(actions).empty());
+      EXPECT_TRUE(actions_of_type<SendAttempt>(actions).empty());
       EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "a repeated outcome";
     }
   }
@@ -58,7 +58,7 @@
   Request request;
   request.id = "r";
   request.time_left = 0.7;
-  const auto sent = only<SendAttempt>(replica.handle(0, request));
+  const auto sent = actions_of_type<SendAttempt>(replica.handle(0, request));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_LE(sent[0].timeout, 0.7);
   EXPECT_GT(sent[0].timeout, 0);
@@ -66,12 +66,12 @@
 
 TEST(FinalResponse, RequestIsRejectedWithoutReadyEndpoints) {
   TestReplica without_endpoints(basic_settings());
-  EXPECT_EQ(only<RejectRequest>(without_endpoints.request("a")).size(), 1U);
+  EXPECT_EQ(actions_of_type<RejectRequest>(without_endpoints.request("a")).size(), 1U);
   TestReplica with_draining_endpoints(basic_settings());
   EndpointUpdate snapshot = make_snapshot(3);
   for (Endpoint& endpoint : snapshot.endpoints) endpoint.state = EndpointState::kDraining;
   with_draining_endpoints.handle(0, snapshot);
-  EXPECT_EQ(only<RejectRequest>(with_draining_endpoints.request("a")).size(), 1U);
+  EXPECT_EQ(actions_of_type<RejectRequest>(with_draining_endpoints.request("a")).size(), 1U);
 }
 
 TEST(FinalResponse, IsGivenAfterMaxAttempts) {
@@ -81,7 +81,7 @@
   replica.handle(0, make_snapshot(8));
   auto actions = replica.request("r");
   int attempts = 0;
-  while (!only<SendAttempt>(actions).empty())
+  while (!actions_of_type<SendAttempt>(actions).empty())
     actions = replica.end_attempt("r", Outcome::kRejected, attempts++);
   EXPECT_LE(attempts, 3);
   EXPECT_EQ(count_final_responses(actions), 1U);
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -20,11 +20,11 @@
   for (int i = 0; i < static_cast<int>(seconds * kRequestRate); ++i) {
     replica.now = start + i / kRequestRate;
     const std::string id = id_prefix + std::to_string(i);
-    auto sent = only<SendAttempt>(replica.request(id));
+    auto sent = actions_of_type<SendAttempt>(replica.request(id));
     if (!sent.empty()) ++first_attempts[sent[0].endpoint];
     for (int attempt = 0; !sent.empty(); ++attempt) {
       const Outcome outcome = sent[0].endpoint == faulty ? Outcome::kServerError : Outcome::kSuccess;
-      sent = only<SendAttempt>(replica.end_attempt(id, outcome, attempt));
+      sent = actions_of_type<SendAttempt>(replica.end_attempt(id, outcome, attempt));
     }
   }
   return first_attempts;
@@ -48,7 +48,7 @@
   for (int i = 0; i < 400; ++i) {
     replica.now = i * 0.5;
     const std::string id = std::to_string(i);
-    const auto sent = only<SendAttempt>(replica.request(id));
+    const auto sent = actions_of_type<SendAttempt>(replica.request(id));
     if (sent.empty()) continue;
     ++attempts[sent[0].endpoint];
     replica.end_attempt(id, Outcome::kSuccess, 0, sent[0].endpoint == "s1" ? 0.4 : 0.1);
@@ -66,7 +66,7 @@
   for (int i = 0; i < 160; ++i) {
     replica.now = i * 0.25;
     const std::string id = std::to_string(i);
-    const auto sent = only<SendAttempt>(replica.request(id));
+    const auto sent = actions_of_type<SendAttempt>(replica.request(id));
     if (sent.empty()) continue;
     if (sent[0].endpoint == "s1" && i >= 80) {
       ++unanswered;
@@ -85,10 +85,10 @@
   for (int i = 0; i < 200; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sent = only<SendAttempt>(replica.request(id));
+    auto sent = actions_of_type<SendAttempt>(replica.request(id));
     first_attempts += static_cast<int>(sent.size());
     for (int attempt = 0; !sent.empty(); ++attempt)
-      sent = only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
+      sent = actions_of_type<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
   }
   EXPECT_EQ(first_attempts, 200);
 }
@@ -103,10 +103,10 @@
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     replica.now += 0.02;
-    const std::vector<SendAttempt> sent = only<SendAttempt>(replica.request(id));
+    const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
     ASSERT_FALSE(sent.empty());
     const Outcome outcome = sent[0].endpoint == "s2" ? Outcome::kServerError : Outcome::kSuccess;
-    const std::vector<SendAttempt> retry = only<SendAttempt>(replica.end_attempt(id, outcome));
+    const std::vector<SendAttempt> retry = actions_of_type<SendAttempt>(replica.end_attempt(id, outcome));
     if (!retry.empty()) replica.end_attempt(id, Outcome::kSuccess, 1);
   }
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 2U) << "and the failing one";
--- a/tests/balancer/rate_limit_feedback_test.cpp
+++ b/tests/balancer/rate_limit_feedback_test.cpp
@@ -21,7 +21,7 @@
   for (int i = 0; i < seconds * kRequestRate; ++i) {
     replica.now = ++sent_requests / static_cast<double>(kRequestRate);
     const std::string id = std::to_string(sent_requests);
-    if (only<SendAttempt>(replica.request(id)).empty()) continue;
+    if (actions_of_type<SendAttempt>(replica.request(id)).empty()) continue;
     const bool fails = failure_interval > 0 && i % failure_interval == 0;
     replica.end_attempt(id, fails ? outcome : Outcome::kSuccess);
   }
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -19,10 +19,10 @@
   for (int i = 0; i < 300; ++i) {
     replica.now = i * 0.02;
     const std::string id = std::to_string(i);
-    auto sent = only<SendAttempt>(replica.request(id));
+    auto sent = actions_of_type<SendAttempt>(replica.request(id));
     first_attempts += static_cast<int>(sent.size());
     for (int attempt = 0; !sent.empty(); ++attempt) {
-      sent = only<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
+      sent = actions_of_type<SendAttempt>(replica.end_attempt(id, Outcome::kServerError, attempt));
       retries += static_cast<int>(sent.size());
     }
   }
@@ -33,8 +33,8 @@
 TEST(RetryPolicy, RetryGoesToAnotherEndpoint) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(3));
-  const auto first = only<SendAttempt>(replica.request("r"));
-  const auto second = only<SendAttempt>(replica.end_attempt("r", Outcome::kConnectionReset));
+  const auto first = actions_of_type<SendAttempt>(replica.request("r"));
+  const auto second = actions_of_type<SendAttempt>(replica.end_attempt("r", Outcome::kConnectionReset));
   ASSERT_EQ(second.size(), 1U);
   EXPECT_NE(first[0].endpoint, second[0].endpoint);
 }
@@ -46,21 +46,21 @@
     replica.request("a");
     if (consumed) replica.handle(0, RequestBodyConsumed{"a"});
     const std::vector<Action> actions = replica.end_attempt("a", Outcome::kConnectFailed);
-    EXPECT_EQ(only<SendAttempt>(actions).empty(), consumed);
-    EXPECT_EQ(only<RejectRequest>(actions).size(), consumed ? 1U : 0U) << "no server has begun it";
+    EXPECT_EQ(actions_of_type<SendAttempt>(actions).empty(), consumed);
+    EXPECT_EQ(actions_of_type<RejectRequest>(actions).size(), consumed ? 1U : 0U) << "no server has begun it";
   }
 }
 
 TEST(RetryPolicy, AttemptTimeoutFollowsObservedLatency) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(4));
-  const double before = only<SendAttempt>(replica.request("first"))[0].timeout;
+  const double before = actions_of_type<SendAttempt>(replica.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
     replica.now = i * 0.1;
     replica.request(std::to_string(i));
     replica.end_attempt(std::to_string(i), Outcome::kSuccess, 0, 0.05);
   }
-  const double after = only<SendAttempt>(replica.request("last"))[0].timeout;
+  const double after = actions_of_type<SendAttempt>(replica.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
@@ -91,7 +91,7 @@
   void run() {
     auto actions = replica_.request("r");
     for (int attempt = 0; attempt < 10; ++attempt) {
-      const auto sent = only<SendAttempt>(actions);
+      const auto sent = actions_of_type<SendAttempt>(actions);
       if (sent.empty()) return expect_valid_final_response(actions);
       ASSERT_EQ(sent.size(), 1U);
       const Endpoint& endpoint = endpoints_[sent[0].endpoint];
@@ -122,7 +122,7 @@
 
   void expect_valid_final_response(const std::vector<Action>& actions) const {
     EXPECT_EQ(count_final_responses(actions), 1U);
-    const bool rejected = !only<RejectRequest>(actions).empty();
+    const bool rejected = !actions_of_type<RejectRequest>(actions).empty();
     if (rejected && may_have_run_at_ && kind_.idempotency != Idempotency::kIdempotent) {
       EXPECT_TRUE(is_keyed(DedupScope::kAll));
     }
@@ -157,9 +157,9 @@
   request_class.dedup_window = 0.5;
   TestReplica replica(basic_settings(request_class));
   replica.handle(0, make_snapshot(4));
-  ASSERT_EQ(only<SendAttempt>(replica.request("r")).size(), 1U);
+  ASSERT_EQ(actions_of_type<SendAttempt>(replica.request("r")).size(), 1U);
   replica.now = 0.6;
-  EXPECT_TRUE(only<SendAttempt>(replica.end_attempt("r", Outcome::kServerError)).empty());
+  EXPECT_TRUE(actions_of_type<SendAttempt>(replica.end_attempt("r", Outcome::kServerError)).empty());
 }
 
 }  // namespace
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -64,7 +64,7 @@
 TEST(Settings, OutOfRangeIndexesInEventsAreTolerated) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(2));
-  EXPECT_EQ(only<SendAttempt>(replica.request("a", 77, 88)).size(), 1U);
+  EXPECT_EQ(actions_of_type<SendAttempt>(replica.request("a", 77, 88)).size(), 1U);
   EXPECT_TRUE(replica.end_attempt("a", Outcome::kSuccess, 9).empty());
   EXPECT_TRUE(replica.end_attempt("a", Outcome::kSuccess, -1).empty());
   EXPECT_TRUE(replica.end_attempt("never", Outcome::kSuccess).empty());
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -37,7 +37,7 @@
     replica.now = now;
     const std::string id = std::to_string(i);
     double latency = kLatency;
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(id))) {
       if (send.endpoint != "s0" || now < kNotifiedAt) continue;
       attempt_times.push_back(now);
       latency *= latency_factor;
@@ -104,7 +104,7 @@
   for (int i = 0; i < 500; ++i) {
     replica.now = 100 + i * 0.01;
     const std::string id = std::to_string(i);
-    attempts += static_cast<int>(only<SendAttempt>(replica.request(id)).size());
+    attempts += static_cast<int>(actions_of_type<SendAttempt>(replica.request(id)).size());
     replica.end_attempt(id, Outcome::kSuccess);
   }
   EXPECT_GT(attempts, 50);
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -35,7 +35,7 @@
   for (int i = 0; i < kZoneRequests; ++i) {
     replica.now = i * 0.5;
     const std::string id = std::to_string(i);
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) {
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(id))) {
       const int zone = zones[std::stoul(send.endpoint.substr(1))];
       ++(zone == 0 ? own : other);
       replica.end_attempt(id, Outcome::kSuccess, 0, latency(zone));
@@ -90,7 +90,8 @@
   std::set<std::string> used;
   for (int i = 0; i < 400; ++i) {
     const std::string id = std::to_string(i);
-    for (const SendAttempt& send : only<SendAttempt>(replica.request(id))) used.insert(send.endpoint);
+    for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(id)))
+      used.insert(send.endpoint);
     replica.end_attempt(id, Outcome::kSuccess);
   }
   return used;
@@ -125,7 +126,7 @@
     TestReplica replica(settings);
     replica.handle(0, make_snapshot(40));
     for (int i = 0; i < 200; ++i) {
-      for (const SendAttempt& send : only<SendAttempt>(replica.request(std::to_string(i))))
+      for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(std::to_string(i))))
         used.insert(send.endpoint);
     }
   }
--- a/tests/balancer/tenant_rate_limit_test.cpp
+++ b/tests/balancer/tenant_rate_limit_test.cpp
@@ -37,7 +37,7 @@
   for (int i = 0; i < requests; ++i) {
     replica.now = i / rate;
     const std::string id = std::to_string(i);
-    rejected += static_cast<int>(only<RejectRequest>(replica.request(id)).size());
+    rejected += static_cast<int>(actions_of_type<RejectRequest>(replica.request(id)).size());
     replica.end_attempt(id, Outcome::kSuccess, 0, i % 6 == 0 ? 1.5 : 0.3);
   }
   return rejected;
--- a/tests/node_unit/poll_timeouts_test.cpp
+++ b/tests/node_unit/poll_timeouts_test.cpp
@@ -25,7 +25,8 @@
     balancer::TestReplica replica(settings, seed);
     replica.handle(0, balancer::Started{});
     for (double now = 0; now < 20;) {
-      const auto timers = balancer::only<balancer::SetTimer>(replica.handle(now, balancer::failed_watch()));
+      const auto timers =
+          balancer::actions_of_type<balancer::SetTimer>(replica.handle(now, balancer::make_watch_failure()));
       EXPECT_EQ(timers.size(), 1U);
       longest = std::max(longest, timers.at(0).at - now);
       shortest = std::min(shortest, timers.at(0).at - now);
--- a/tests/support/balancer_fixture.cpp
+++ b/tests/support/balancer_fixture.cpp
@@ -47,10 +47,10 @@
   return update;
 }
 
-EndpointUpdate failed_watch() { return {EndpointUpdate::Form::kWatchFailed, {}}; }
+EndpointUpdate make_watch_failure() { return {EndpointUpdate::Form::kWatchFailed, {}}; }
 
 std::size_t count_final_responses(const std::vector<Action>& actions) {
-  return only<RejectRequest>(actions).size() + only<FailRequest>(actions).size();
+  return actions_of_type<RejectRequest>(actions).size() + actions_of_type<FailRequest>(actions).size();
 }
 
 std::vector<Action> TestReplica::handle(double time, const Event& event) {
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -30,7 +30,7 @@
 EndpointUpdate make_update(const Endpoint& endpoint, EndpointState state = EndpointState::kReady);
 
 // A failed poll or a broken watch.
-EndpointUpdate failed_watch();
+EndpointUpdate make_watch_failure();
 
 // What may happen when a request is executed more than once.
 struct IdempotencyKind {
@@ -65,7 +65,7 @@
 
 // The actions of one type.
 template <typename ActionType>
-std::vector<ActionType> only(const std::vector<Action>& actions) {
+std::vector<ActionType> actions_of_type(const std::vector<Action>& actions) {
   std::vector<ActionType> selected;
   for (const Action& action : actions) {
     if (const auto* typed = std::get_if<ActionType>(&action)) selected.push_back(*typed);
--- a/tests/support/steady_load.cpp
+++ b/tests/support/steady_load.cpp
@@ -15,10 +15,10 @@
   for (int i = 0; i < requests; ++i) {
     replica.now = start + i / rate;
     const std::string id = prefix + std::to_string(i);
-    if (only<SendAttempt>(replica.request(id)).empty()) continue;
+    if (actions_of_type<SendAttempt>(replica.request(id)).empty()) continue;
     ++admitted;
     const auto actions = replica.end_attempt(id, outcome);
-    for (const SendAttempt& retry : only<SendAttempt>(actions))
+    for (const SendAttempt& retry : actions_of_type<SendAttempt>(actions))
       replica.end_attempt(retry.id, Outcome::kSuccess, 1);
   }
   return admitted;
