--- a/node/config/endpoint_list.cpp
+++ b/node/config/endpoint_list.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-boost::asio::ip::tcp::endpoint read_socket_address(std::string_view text) {
+boost::asio::ip::tcp::endpoint parse_socket_address(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   unsigned short port = 0;
   boost::system::error_code error = boost::asio::error::invalid_argument;
@@ -45,14 +45,14 @@
   return {address, port};
 }
 
-ListedEndpoint read_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones) {
+ListedEndpoint parse_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones) {
   ListedEndpoint out;
   balancer::Endpoint& endpoint = out.endpoint;
   endpoint.address = json::string(entry, "host");
   if (endpoint.address.empty()) json::throw_unexpected("host", "a name");
   endpoint.state = read_state(entry);
   if (endpoint.state != balancer::EndpointState::kRemoved) {
-    out.socket_address = read_socket_address(json::string(entry, "dial"));
+    out.socket_address = parse_socket_address(json::string(entry, "dial"));
   }
   if (json::find(entry, "site") != nullptr) endpoint.zone = zone_index(json::string(entry, "site"), zones);
   endpoint.cell = json::integer_or(entry, "block", 0);
@@ -61,8 +61,8 @@
   return out;
 }
 
-EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
-                                std::size_t max_endpoints) {
+EndpointList parse_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
+                                 std::size_t max_endpoints) {
   EndpointListReader reader(zones, max_endpoints);
   std::optional<EndpointList> out;
   while (!text.empty()) {
--- a/node/config/endpoint_list.h
+++ b/node/config/endpoint_list.h
@@ -36,17 +36,17 @@
   std::vector<ListedEndpoint> endpoints;
 };
 
-constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
+constexpr std::size_t kNoEndpointLimit = std::numeric_limits<std::size_t>::max();
 
 // zones: their names in the order of the settings. max_endpoints: a longer list is rejected.
 // Throws EndpointListError.
-EndpointList read_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
-                                std::size_t max_endpoints = kNoLimit);
+EndpointList parse_endpoint_list(std::string_view text, const std::vector<std::string>& zones,
+                                 std::size_t max_endpoints = kNoEndpointLimit);
 
 // One entry of a list. Throws json::FormatError.
-ListedEndpoint read_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones);
+ListedEndpoint parse_listed_endpoint(const json::Json& entry, const std::vector<std::string>& zones);
 
 // An address and a port, such as 127.0.0.1:3000 or [::1]:3000. Throws json::FormatError.
-boost::asio::ip::tcp::endpoint read_socket_address(std::string_view text);
+boost::asio::ip::tcp::endpoint parse_socket_address(std::string_view text);
 
 }  // namespace asterdrift::node::config
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -145,7 +145,7 @@
   rapidjson::Document entry(&allocator);
   try {
     json::parse(entry_, entry);
-    list_.endpoints.push_back(read_listed_endpoint(entry, zones_));
+    list_.endpoints.push_back(parse_listed_endpoint(entry, zones_));
   } catch (const json::FormatError& error) {
     throw EndpointListError(error.what());
   }
--- a/node/config/endpoint_list_reader.h
+++ b/node/config/endpoint_list_reader.h
@@ -21,7 +21,7 @@
     std::size_t bytes;  // that have been read
   };
 
-  // zones: as for read_endpoint_list; has to outlive the reader. max_endpoints: a longer list is rejected.
+  // zones: as for parse_endpoint_list; has to outlive the reader. max_endpoints: a longer list is rejected.
   EndpointListReader(const std::vector<std::string>& zones, std::size_t max_endpoints)
       : zones_(zones), max_endpoints_(max_endpoints) {}
 
--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -95,22 +95,22 @@
   if (!(out.server_idle_timeout > 0)) json::throw_unexpected("idleClose", "above 0");
 }
 
-NodeConfig parse_config(const std::string& text) {
+NodeConfig read_fields(const std::string& text) {
   const ConfigText parts = split_known(text);
   const rapidjson::Document in = json::parse(parts.rest);
   NodeConfig out;
   out.name = json::string(in, "name");
-  out.listen_address = read_socket_address(json::string(in, "listen"));
-  out.discovery_address = read_socket_address(json::string(in, "discovery"));
+  out.listen_address = parse_socket_address(json::string(in, "listen"));
+  out.discovery_address = parse_socket_address(json::string(in, "discovery"));
   if (json::find(in, "management") != nullptr) {
-    out.admin_address = read_socket_address(json::string(in, "management"));
+    out.admin_address = parse_socket_address(json::string(in, "management"));
   }
   out.seed = read_seed(json::string(in, "seed"));
   if (const Json* limits = json::find(in, "limits")) read_limits(*limits, out);
   read_settings(json::require(in, "settings"), out);
   if (json::find(in, "known") != nullptr) json::throw_unexpected("known", "an object");
   if (!parts.known.empty()) {
-    out.known_endpoints = read_endpoint_list(parts.known, out.zones, max_endpoints(out.memory_mb));
+    out.known_endpoints = parse_endpoint_list(parts.known, out.zones, max_endpoints(out.memory_mb));
     out.known_endpoints->is_snapshot = true;
   }
   return out;
@@ -120,9 +120,9 @@
 
 std::size_t max_endpoints(std::size_t memory_mb) { return memory_mb * 1024 * 1024 / 2 / kBytesPerEndpoint; }
 
-NodeConfig read_config(const std::string& text) {
+NodeConfig parse_config(const std::string& text) {
   try {
-    return parse_config(text);
+    return read_fields(text);
   } catch (const json::FormatError& error) {
     throw ConfigurationError(error.what());
   } catch (const EndpointListError& error) {
@@ -138,11 +138,11 @@
   std::ifstream file(path);
   if (!file) throw ConfigurationError(std::string("cannot read ") + path);
   const std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-  NodeConfig config = read_config(text);
+  NodeConfig config = parse_config(text);
   const char* admin_address = std::getenv("GW_MANAGEMENT");
   if (config.admin_address || admin_address == nullptr) return config;
   try {
-    config.admin_address = read_socket_address(admin_address);
+    config.admin_address = parse_socket_address(admin_address);
   } catch (const json::FormatError& error) {
     throw ConfigurationError(std::string("GW_MANAGEMENT: ") + error.what());
   }
--- a/node/config/node_config.h
+++ b/node/config/node_config.h
@@ -40,7 +40,7 @@
 std::size_t max_endpoints(std::size_t memory_mb);
 
 // Throws ConfigurationError.
-NodeConfig read_config(const std::string& text);
+NodeConfig parse_config(const std::string& text);
 
 // Reads the file that $GW_CONFIG names; $GW_MANAGEMENT is the admin address where the file has none. Throws
 // ConfigurationError.
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -28,9 +28,9 @@
 
 DiscoveryClient::~DiscoveryClient() = default;
 
-void DiscoveryClient::watch() {
+void DiscoveryClient::ensure_watch() {
   if (current_ || is_changing_address_) return;
-  const double wait = budget_.wait(now());
+  const double wait = budget_.poll_delay(now());
   if (wait > 0) return schedule(wait, [this] { start_watch(); });
   start_watch();
 }
@@ -61,7 +61,7 @@
   version_.reset();
   snapshot_next_ = had_snapshot_ = false;
   is_changing_address_ = true;
-  budget_.allow_now();
+  budget_.allow_immediate_poll();
   retry_timer_.cancel();
   if (successor_) successor_->close();
   start_successor();
@@ -81,8 +81,8 @@
 
 // With jitter, since all nodes lose discovery at once and must not poll it again at once.
 double DiscoveryClient::retry_wait() {
-  const double wait = poll_timeouts::wait(is_pushed()) * (0.5 + jitter() / 2);
-  return std::max(wait, budget_.wait(now()));
+  const double wait = poll_timeouts::max_poll_delay(is_pushed()) * (0.5 + jitter() / 2);
+  return std::max(wait, budget_.poll_delay(now()));
 }
 
 // The first snapshot of an address is needed. Each further snapshot that begins a watch is charged to the
@@ -102,7 +102,7 @@
   last_invalid_.clear();
   budget_.record_valid_list();
   if (list.is_snapshot && had_snapshot_) {
-    budget_.record_waste(now(), first_bytes, jitter(), PollBudget::Waste::kRepeated);
+    budget_.charge(now(), first_bytes, jitter(), PollBudget::ChargeReason::kRepeated);
   }
   if (is_changing_address_) return;
   had_snapshot_ = had_snapshot_ || list.is_snapshot;
@@ -137,8 +137,8 @@
 
 void DiscoveryClient::record_error(const WatchError& error) {
   const bool is_invalid = error.kind == WatchError::Kind::kInvalidList;
-  budget_.record_waste(now(), error.wasted_bytes, jitter(),
-                       is_invalid ? PollBudget::Waste::kInvalid : PollBudget::Waste::kTruncated);
+  budget_.charge(now(), error.wasted_bytes, jitter(),
+                 is_invalid ? PollBudget::ChargeReason::kInvalid : PollBudget::ChargeReason::kTruncated);
   if (is_invalid) {
     last_invalid_ = error.message;
     // Invalid changes would be repeated, so that a snapshot is needed next. Where the snapshot is invalid,
@@ -146,8 +146,8 @@
     snapshot_next_ = !error.is_first_snapshot;
     budget_.record_invalid_list(now(), jitter());
   }
-  const double wait = budget_.wait(now());
-  if (!budget_.is_spent() || wait <= 0) return;
+  const double wait = budget_.poll_delay(now());
+  if (!budget_.is_exhausted() || wait <= 0) return;
   log_line("discovery poll delayed: " + net::to_text(address_) + ": next poll in " +
            std::to_string(static_cast<int>(std::ceil(wait))) + " s, byte budget of failed polls exhausted");
 }
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -32,7 +32,7 @@
 
   // Starts a watch unless one is active. Where the balancer requests watches, it also decides when to poll
   // again; otherwise this client does. In both cases the poll budget may delay the watch.
-  void watch();
+  void ensure_watch();
 
   // Discovery is at another address from now on. The old watch stays active until the first list from there.
   void change_address(const boost::asio::ip::tcp::endpoint& address);
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -38,10 +38,11 @@
   request_.version(kHttp11);
   request_.set(beast_http::field::host, net::to_text(options_.address));
   began_ = timing::now();
-  set_deadline(poll_timeouts::connected_by(options_.is_pushed, began_));
+  set_deadline(poll_timeouts::connect_deadline(options_.is_pushed, began_));
   stream_.async_connect(options_.address, [self = shared_from_this()](const error_code& error) {
     if (error) return self->fail(Kind::kConnect, "connect: " + error.message());
-    self->set_deadline(poll_timeouts::answered_by(self->options_.is_pushed, self->began_, timing::now()));
+    self->set_deadline(
+        poll_timeouts::response_deadline(self->options_.is_pushed, self->began_, timing::now()));
     self->write_request();
   });
 }
@@ -64,7 +65,7 @@
     if (error) return self->fail(Kind::kResponse, "response: " + error.message());
     const unsigned status = self->parser_.get().result_int();
     if (status != kOk) return self->fail(Kind::kResponse, "response: status " + std::to_string(status));
-    self->set_deadline(poll_timeouts::first_line_by(self->began_, timing::now()));
+    self->set_deadline(poll_timeouts::first_line_deadline(self->began_, timing::now()));
     self->handle_body();
   };
   beast_http::async_read_header(stream_, buffer_, parser_, on_head);
@@ -86,7 +87,7 @@
 // that complete neither do not count.
 void EndpointWatch::on_alive() {
   unused_bytes_at_alive_ = unused_bytes_;
-  set_deadline(timing::now() + poll_timeouts::kSilence);
+  set_deadline(timing::now() + poll_timeouts::kSilenceTimeout);
 }
 
 // A truncated list is discarded with its connection.
--- a/node/discovery/poll_budget.h
+++ b/node/discovery/poll_budget.h
@@ -10,13 +10,14 @@
 // takes precedence over the budget, except after invalid lists, which another poll would only repeat.
 class PollBudget {
  public:
-  static constexpr double kBytesPerSecond = 29'000;    // refill
-  static constexpr double kBurst = 8.0 * 1024 * 1024;  // bytes; two snapshots of 27,000 endpoints, 4 MB each
-  static constexpr double kFirstBackoff = 0.25;        // s, after a list that is not valid; then doubled
+  static constexpr double kBytesPerSecond = 29'000;  // refill
+  static constexpr double kBurstBytes =
+      8.0 * 1024 * 1024;                           // bytes; two snapshots of 27,000 endpoints, 4 MB each
+  static constexpr double kInitialBackoff = 0.25;  // s, after a list that is not valid; then doubled
   // This backoff and one poll that hangs stay below poll_timeouts::kNotifiedAfter together.
   static constexpr double kMaxBackoff = 3;  // s
 
-  enum class Waste {
+  enum class ChargeReason {
     kTruncated,  // the poll failed, or the stream ended within a list
     kRepeated,   // another snapshot
     kInvalid     // not a valid list
@@ -24,25 +25,25 @@
 
   // Bytes have been received without a usable list. jitter: 0 to 1, so that nodes do not poll at the same
   // time.
-  void record_waste(double now, std::size_t bytes, double jitter, Waste waste);
+  void charge(double now, std::size_t bytes, double jitter, ChargeReason reason);
 
   // Whether the budget is exhausted.
-  bool is_spent() const { return bytes_left_ < 0; }
+  bool is_exhausted() const { return bytes_left_ < 0; }
 
   void record_invalid_list(double now, double jitter);
 
   void record_valid_list() { backoff_ = 0; }
 
   // s until the next poll is allowed.
-  double wait(double now) const;
+  double poll_delay(double now) const;
 
   // Allows a poll at once, as after a change of discovery's address. The bytes received stay charged.
-  void allow_now();
+  void allow_immediate_poll();
 
  private:
   void defer_until(double time);
 
-  double bytes_left_ = kBurst, updated_at_ = 0;
+  double bytes_left_ = kBurstBytes, updated_at_ = 0;
   double backoff_ = 0, not_before_ = 0;
 };
 
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -34,7 +34,7 @@
       body_budget_(limits_.body_bytes),
       metrics_(config.classes),
       dispatcher_(io_, config, body_budget_, metrics_, limits_.upstream_connections,
-                  [this] { discovery_.watch(); }),
+                  [this] { discovery_.ensure_watch(); }),
       server_(io_, config, dispatcher_, body_budget_, metrics_, limits_.downstream_connections,
               process_group_.is_visible()),
       shutdown_signals_(io_, SIGTERM, SIGINT),
--- a/scale/benchmark/change_benchmark.cpp
+++ b/scale/benchmark/change_benchmark.cpp
@@ -75,7 +75,7 @@
 };
 
 std::vector<double> read_costs(int runs, const std::string& list) {
-  return costs_of(runs, [&](int) { node::config::read_endpoint_list(list, endpoint_zones()); });
+  return costs_of(runs, [&](int) { node::config::parse_endpoint_list(list, endpoint_zones()); });
 }
 
 }  // namespace
--- a/scale/benchmark/memory_benchmark.cpp
+++ b/scale/benchmark/memory_benchmark.cpp
@@ -23,7 +23,7 @@
   ListMemory memory;
   const std::size_t before = allocations().live_bytes;
   reset_peak();
-  const node::config::EndpointList list = node::config::read_endpoint_list(text, endpoint_zones());
+  const node::config::EndpointList list = node::config::parse_endpoint_list(text, endpoint_zones());
   memory.live_bytes = allocations().live_bytes - before;
   memory.peak_bytes = allocations().peak_bytes - before;
   memory.update = to_endpoint_update(list);
--- a/scale/guards/polling_guard_test.cpp
+++ b/scale/guards/polling_guard_test.cpp
@@ -152,9 +152,9 @@
       max_backoff = std::max(max_backoff, backoff);
     }
   }
-  EXPECT_LE(max_backoff, node::discovery::poll_timeouts::kWait);
-  EXPECT_GE(min_backoff, node::discovery::poll_timeouts::kWait / 2);
-  EXPECT_GE(max_backoff - min_backoff, node::discovery::poll_timeouts::kWait / 3);
+  EXPECT_LE(max_backoff, node::discovery::poll_timeouts::kMaxPollDelay);
+  EXPECT_GE(min_backoff, node::discovery::poll_timeouts::kMaxPollDelay / 2);
+  EXPECT_GE(max_backoff - min_backoff, node::discovery::poll_timeouts::kMaxPollDelay / 3);
 }
 
 // A list that cannot be used is polled again after a growing backoff. A busy machine can only lengthen a
@@ -173,7 +173,7 @@
   const std::vector<double>& polled_at = discovery.polled_at();
   ASSERT_GE(polled_at.size(), kPolls);
   for (std::size_t i = 0; i + 1 < kPolls; ++i) {
-    const double backoff = node::discovery::PollBudget::kFirstBackoff * static_cast<double>(1U << i);
+    const double backoff = node::discovery::PollBudget::kInitialBackoff * static_cast<double>(1U << i);
     EXPECT_GE(polled_at[i + 1] - polled_at[i], backoff / 2) << i;
   }
   EXPECT_FALSE(node.has_endpoints());
--- a/scale/stand_ins/endpoint_updates.cpp
+++ b/scale/stand_ins/endpoint_updates.cpp
@@ -18,7 +18,7 @@
 
 balancer::EndpointUpdate snapshot_update(std::size_t endpoints) {
   const std::string text = snapshot_text(1, endpoints, kUnusedEndpointPort);
-  return to_endpoint_update(node::config::read_endpoint_list(text, endpoint_zones()));
+  return to_endpoint_update(node::config::parse_endpoint_list(text, endpoint_zones()));
 }
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/node_setup.cpp
+++ b/scale/stand_ins/node_setup.cpp
@@ -40,7 +40,7 @@
 }
 
 balancer::Settings balancer_settings(const NodeSetup& setup) {
-  return node::config::read_config(config_text(setup)).settings;
+  return node::config::parse_config(config_text(setup)).settings;
 }
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/simulated_node.cpp
+++ b/scale/stand_ins/simulated_node.cpp
@@ -23,7 +23,7 @@
 SimulatedNode::SimulatedNode(boost::asio::io_context& io, const std::string& config,
                              ListHandler on_list_applied)
     : io_(io),
-      config_(node::config::read_config(config)),
+      config_(node::config::parse_config(config)),
       balancer_(config_.settings, config_.seed),
       discovery_(io, config_,
                  {[this](const node::config::EndpointList& list) { handle_list(list); },
@@ -32,7 +32,7 @@
 
 void SimulatedNode::start() {
   handle(balancer::Started{});
-  if (!config_.settings.requires_watch) discovery_.watch();
+  if (!config_.settings.requires_watch) discovery_.ensure_watch();
 }
 
 bool SimulatedNode::has_endpoints() const { return balancer_.endpoints(node::timing::now()).listed > 0; }
@@ -73,7 +73,7 @@
 void SimulatedNode::carry_out(const balancer::Action& action) {
   if (std::holds_alternative<balancer::WatchEndpoints>(action)) {
     counts_.watches += 1;
-    discovery_.watch();
+    discovery_.ensure_watch();
   } else if (const auto* timer = std::get_if<balancer::SetTimer>(&action)) {
     start_timer(*timer);
   } else if (const auto* attempt = std::get_if<balancer::SendAttempt>(&action)) {
--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -44,7 +44,7 @@
 // The request of the action that throws is reported, its event is handled to the end, and so is the next.
 TEST(BalancerHost, ActionThatThrowsEndsItsRequestAlone) {
   boost::asio::io_context io;
-  const config::NodeConfig config = config::read_config(kConfiguration);
+  const config::NodeConfig config = config::parse_config(kConfiguration);
   ThrowingActions actions;
   BalancerHost host(io, config, actions);
   host.post(balancer::Started{});
--- a/tests/node_unit/endpoint_list_reader_test.cpp
+++ b/tests/node_unit/endpoint_list_reader_test.cpp
@@ -79,9 +79,9 @@
         EXPECT_EQ(result.endpoints[1].endpoint.zone, 1);
       }
     }
-    EXPECT_EQ(read_endpoint_list(list + "\n", kZones).endpoints.size(), 2U);
-    EXPECT_THROW(read_endpoint_list(list + list, kZones), std::exception);
-    EXPECT_THROW(read_endpoint_list(list.substr(0, list.size() - 1), kZones), std::exception);
+    EXPECT_EQ(parse_endpoint_list(list + "\n", kZones).endpoints.size(), 2U);
+    EXPECT_THROW(parse_endpoint_list(list + list, kZones), std::exception);
+    EXPECT_THROW(parse_endpoint_list(list.substr(0, list.size() - 1), kZones), std::exception);
   }
 }
 
@@ -122,7 +122,7 @@
     for (const std::size_t piece_size : {std::size_t{1}, text.size()}) {
       EXPECT_THROW(read(text, piece_size), std::exception) << text;
     }
-    EXPECT_THROW(read_endpoint_list(text, kZones), std::exception) << text;
+    EXPECT_THROW(parse_endpoint_list(text, kZones), std::exception) << text;
   }
   const std::string valid = R"({"seq":8,"hosts":[)" + entry + "]}";
   for (std::size_t length = 0; length < valid.size(); ++length)
--- a/tests/node_unit/node_config_test.cpp
+++ b/tests/node_unit/node_config_test.cpp
@@ -24,7 +24,7 @@
 
 TEST(NodeConfig, KnownEndpointListIsRead) {
   const auto known_endpoints = [](const std::string& value) {
-    return read_config(configuration_with("\"known\" : " + value + ",")).known_endpoints;
+    return parse_config(configuration_with("\"known\" : " + value + ",")).known_endpoints;
   };
   const std::string list = R"({"hosts":[)" + endpoint_entries(20) + R"(],"known":{"seq":1},"seq":41})";
   ASSERT_TRUE(known_endpoints(list));
@@ -32,7 +32,7 @@
   EXPECT_EQ(known_endpoints(list)->endpoints.size(), 20U);
   EXPECT_EQ(known_endpoints(list)->endpoints[7].endpoint.zone, 1);
   EXPECT_FALSE(known_endpoints("null"));
-  EXPECT_FALSE(read_config(configuration_with(R"("other":{"known":{"seq":1}},)")).known_endpoints);
+  EXPECT_FALSE(parse_config(configuration_with(R"("other":{"known":{"seq":1}},)")).known_endpoints);
   for (const std::string invalid :
        {"7", "[]", "{}", R"({"seq":1,"hosts":[{}]})", R"({"seq":1,"hosts":[],})"}) {
     EXPECT_THROW(known_endpoints(invalid), std::exception) << invalid;
--- a/tests/node_unit/poll_timeouts_test.cpp
+++ b/tests/node_unit/poll_timeouts_test.cpp
@@ -40,14 +40,14 @@
 std::vector<double> poll_durations(bool pushed) {
   using namespace poll_timeouts;
   std::vector<double> durations = {0};
-  for (int tenths = 0; tenths / 10.0 <= connected_by(pushed, 0); ++tenths) {
+  for (int tenths = 0; tenths / 10.0 <= connect_deadline(pushed, 0); ++tenths) {
     const double connected_at = tenths / 10.0;
     durations.push_back(connected_at);
-    durations.push_back(answered_by(pushed, 0, connected_at));
+    durations.push_back(response_deadline(pushed, 0, connected_at));
   }
-  durations.push_back(first_line_by(0, 0.5));  // a response soon, then silence or half a list
-  durations.push_back(connected_by(pushed, 0));
-  durations.push_back(kSilence);
+  durations.push_back(first_line_deadline(0, 0.5));  // a response soon, then silence or half a list
+  durations.push_back(connect_deadline(pushed, 0));
+  durations.push_back(kSilenceTimeout);
   return durations;
 }
 
@@ -56,19 +56,20 @@
 TEST(PollTimeouts, ChangeIsReadBeforeItCountsAsNotified) {
   using namespace poll_timeouts;
   for (const bool pushed : {false, true}) {
-    const double wait_between = pushed ? wait(true) : std::max(wait(false), longest_wait_of_module(10));
+    const double wait_between =
+        pushed ? max_poll_delay(true) : std::max(max_poll_delay(false), longest_wait_of_module(10));
     const std::vector<double> durations = poll_durations(pushed);
     for (const double first : durations) {
       for (const double second : durations) {
         EXPECT_LE(first + wait_between + second + wait_between, kNotifiedAfter)
             << first << ", then " << second;
       }
-      EXPECT_LE(first + wait_between, kNotifiedAfterMove - 0.5) << "after a migration";
+      EXPECT_LE(first + wait_between, kNotifiedAfterAddressChange - 0.5) << "after a migration";
     }
-    EXPECT_GE((kNotifiedAfter - kSilence) / wait_between, 5) << "polls that are refused at once";
+    EXPECT_GE((kNotifiedAfter - kSilenceTimeout) / wait_between, 5) << "polls that are refused at once";
   }
-  EXPECT_GE(answered_by(false, 0, 0.1), 2.1) << "polls wait 2 s in discovery's queue";
-  EXPECT_GE(first_line_by(0, 2) - 2, 2) << "and then for an empty line";
+  EXPECT_GE(response_deadline(false, 0, 0.1), 2.1) << "polls wait 2 s in discovery's queue";
+  EXPECT_GE(first_line_deadline(0, 2) - 2, 2) << "and then for an empty line";
 }
 
 }  // namespace
