--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -19,7 +19,7 @@
     R"("categories":[{"name":"c","aim":1,"giveUp":2,"effect":"unsafe"}]}})";
 
 // Records the actions, and throws from those that fail a request.
-class ThrowingActions : public BalancerActions {
+class ThrowingActions : public BalancerActionHandler {
  public:
   void run(const balancer::SendAttempt& action) override { sent.push_back(action.id); }
   void run(const balancer::RejectRequest&) override {}
@@ -44,7 +44,7 @@
 // The request of the action that throws is reported, its event is handled to the end, and so is the next.
 TEST(BalancerHost, ActionThatThrowsEndsItsRequestAlone) {
   boost::asio::io_context io;
-  const config::NodeConfig config = config::read_config(kConfiguration);
+  const config::NodeConfig config = config::parse_config(kConfiguration);
   ThrowingActions actions;
   BalancerHost host(io, config, actions);
   host.post(balancer::ReplicaStarted{});
