--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -7,32 +7,44 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kBucketS = 0.1;         // width of a bucket of the sliding window
-constexpr int kLastSecondBuckets = 10;   // the short rate is that of the last second
-constexpr int kMinWindowBuckets = 15;    // an empty window admits this much of the limit at once
-constexpr int kMaxWindowBuckets = 80;    // a longer window would detect a burst after its end
-constexpr double kWindowRequests = 15;   // that a window should hold, to average over random arrivals
-constexpr double kHardLimitFactor = 20;  // x the limit, denied requests included; above it all are denied
-constexpr double kSuppressionCacheS = 0.1;
-
-constexpr double kInitialLimitFactor = 1.2;          // x the share of the quota
-constexpr double kInitialLowTrafficLimitFactor = 4;  // the same where few requests arrive, in random bursts
-constexpr double kReviewPeriodS = 1;                 // the delay of feedback
+constexpr Seconds kBucketWidth = 0.1;
+constexpr int kLastSecondBuckets = 10;  // the short window is the last second
+// An empty window admits as many requests at once as the limit allows in its length. A window of more than
+// kMaxWindowBuckets would detect a burst only after the end of the burst.
+constexpr int kMinWindowBuckets = 15;
+constexpr int kMaxWindowBuckets = 80;
+// A window should contain this many requests, to average over random arrivals.
+constexpr double kWindowRequests = 15;
+// All requests are rejected if their rate, including rejected requests, exceeds this many times the limit.
+constexpr double kHardLimitFactor = 20;
+constexpr Seconds kSuppressionCacheTime = 0.1;
+
+// The initial limit, as a multiple of this replica's share of the quota.
+constexpr double kInitialLimitFactor = 1.2;
+// With little traffic, requests arrive in random bursts.
+constexpr double kInitialLowTrafficLimitFactor = 4;
+constexpr Seconds kReviewPeriod = 1;  // the time until a change of the limit shows in outcomes
 constexpr double kMinReviewRequests = 5;
-constexpr double kOverloadedFraction = 0.1;  // of ended requests, above which the limit decreases
-constexpr double kHealthyFraction = 0.03;    // of ended requests, up to which the limit may increase
-constexpr double kDecreaseFactor = 0.75;     // x the limit, in one review
-constexpr double kIncreaseFraction = 0.1;  // of the limit, in one review, for traffic of full priority weight
-
-constexpr double kMinFloorRate = 2;   // requests/s, over all replicas
-constexpr double kFloorFactor = 1.2;  // x the share of the quota; replicas do not get equal shares of traffic
-constexpr double kDeepFloorFactor = 6;  // the same past tier 0, where a rejection wastes the work done above
-constexpr double kInTimeTimeConstantS = 5;
-constexpr double kMinKnownFraction = 0.1;  // bounds the correction of the rate in the first seconds
+// The limit decreases if more than this fraction of the ended requests was overloaded.
+constexpr double kOverloadedFraction = 0.1;
+// The limit may increase if at most this fraction of the ended requests was overloaded.
+constexpr double kHealthyFraction = 0.03;
+constexpr double kDecreaseFactor = 0.75;  // one review may multiply the limit by this
+// One review may increase the limit by this fraction, for traffic of full priority weight.
+constexpr double kIncreaseFraction = 0.1;
+
+constexpr double kMinRequestsPerSecond = 2;  // lower bound of the limit, over all replicas
+// The lower bound of the limit is a multiple of this replica's share of the quota, since replicas do not get
+// equal shares of the traffic. It is higher past tier 0, where a rejection wastes the work of the tiers
+// above.
+constexpr double kMinLimitFactor = 1.2;
+constexpr double kInnerTierMinLimitFactor = 6;
+constexpr Seconds kInTimeRateTimeConstant = 5;
+constexpr double kMinObservedFraction = 0.1;  // bounds the correction of the rate in the first seconds
 
 int window_buckets(const TrafficStatistics& traffic) {
   const double rate = traffic.quota_rate;
-  const double buckets = rate > 0 ? std::round(kWindowRequests / rate / kBucketS) : 0;
+  const double buckets = rate > 0 ? std::round(kWindowRequests / rate / kBucketWidth) : 0;
   return static_cast<int>(std::clamp<double>(buckets, kMinWindowBuckets, kMaxWindowBuckets));
 }
 
@@ -46,35 +58,37 @@
 TenantAdmission::TenantAdmission(const Tenant& tenant, const Settings& settings,
                                  const TrafficStatistics& traffic)
     : traffic_(traffic),
-      window_s_(kBucketS * window_buckets(traffic)),
-      window_(kBucketS, window_buckets(traffic), kLastSecondBuckets),
-      floor_(kMinFloorRate),
+      window_length_(kBucketWidth * window_buckets(traffic)),
+      window_(kBucketWidth, window_buckets(traffic), kLastSecondBuckets),
+      fixed_min_limit_(kMinRequestsPerSecond),
       increase_fraction_(kIncreaseFraction),
-      in_time_rate_(kInTimeTimeConstantS) {
-  const double floor_factor = settings.tier > 0 ? kDeepFloorFactor : kFloorFactor;
-  in_time_multiple_ = tenant.quota ? 0 : floor_factor;
+      in_time_rate_(kInTimeRateTimeConstant) {
+  const double min_limit_factor = settings.tier > 0 ? kInnerTierMinLimitFactor : kMinLimitFactor;
+  in_time_limit_factor_ = tenant.quota ? 0 : min_limit_factor;
   if (!tenant.quota) return;
   quota_share_ = *tenant.quota / settings.replica_count;
-  floor_ = std::max(kMinFloorRate / settings.replica_count, quota_share_ * floor_factor);
-  // Reviews of few requests are random, and would decrease the limit below the tenant's share.
-  const bool is_low = window_buckets(traffic) > kMinWindowBuckets;
-  limit_ = std::max(floor_, quota_share_ * (is_low ? kInitialLowTrafficLimitFactor : kInitialLimitFactor));
+  fixed_min_limit_ =
+      std::max(kMinRequestsPerSecond / settings.replica_count, quota_share_ * min_limit_factor);
+  // Reviews of few requests have random results, and would decrease the limit below the tenant's share.
+  const bool has_little_traffic = window_buckets(traffic) > kMinWindowBuckets;
+  limit_ = std::max(fixed_min_limit_, quota_share_ * (has_little_traffic ? kInitialLowTrafficLimitFactor
+                                                                         : kInitialLimitFactor));
   increase_fraction_ *= settings.over_quota_priority_weight;
 }
 
-double TenantAdmission::suppression(const support::SlidingWindow::Sums& sums) const {
-  if (sums.total - sums.declined < limit_ * window_s_) return 0;
-  if (sums.total >= limit_ * window_s_ * kHardLimitFactor) return 1;
-  return suppression_factor(limit_, sums.total / window_s_, sums.short_total);
+double TenantAdmission::suppression(const support::SlidingWindow::Counts& counts) const {
+  if (counts.total - counts.rejected < limit_ * window_length_) return 0;
+  if (counts.total >= limit_ * window_length_ * kHardLimitFactor) return 1;
+  return suppression_factor(limit_, counts.total / window_length_, counts.short_total);
 }
 
-// The cached factor is used only between the soft and the hard limit.
-bool TenantAdmission::admit(double now, support::Random& random) {
-  double factor = suppression(window_.sums(now));
+// The cached suppression factor is used only between the soft limit and the hard limit.
+bool TenantAdmission::admit(Seconds now, support::Random& random) {
+  double factor = suppression(window_.counts(now));
   if (factor > 0 && factor < 1) {
-    if (now >= cached_until_) {
+    if (now >= suppression_cached_until_) {
       cached_suppression_ = factor;
-      cached_until_ = now + kSuppressionCacheS;
+      suppression_cached_until_ = now + kSuppressionCacheTime;
     }
     factor = cached_suppression_;
   }
@@ -83,42 +97,44 @@
   return admitted;
 }
 
-void TenantAdmission::record_end(double now, bool overloaded, bool in_time) {
-  first_end_at_ = std::min(first_end_at_, now);
-  ended_ += 1;
-  if (overloaded) overloaded_ += 1;
+void TenantAdmission::record_outcome(Seconds now, bool overloaded, bool in_time) {
+  first_outcome_at_ = std::min(first_outcome_at_, now);
+  ended_requests_ += 1;
+  if (overloaded) overloaded_requests_ += 1;
   if (in_time) in_time_rate_.add(now);
   if (now < next_review_at_) return;
-  if (ended_ < kMinReviewRequests && !traffic_.is_low(now)) return;
+  if (ended_requests_ < kMinReviewRequests && !traffic_.is_low(now)) return;
   review_limit(now);
 }
 
-// Requests that end within a review period were sent under the previous limit: one change a period.
-void TenantAdmission::review_limit(double now) {
-  const support::SlidingWindow::Sums sums = window_.sums(now);
-  const double accepted_rate = (sums.total - sums.declined) / window_s_;
-  if (overloaded_ > kOverloadedFraction * ended_) {
+// The limit changes at most once in a review period, since requests that end within the period were admitted
+// under the previous limit.
+void TenantAdmission::review_limit(Seconds now) {
+  const support::SlidingWindow::Counts counts = window_.counts(now);
+  const double accepted_rate = (counts.total - counts.rejected) / window_length_;
+  if (overloaded_requests_ > kOverloadedFraction * ended_requests_) {
     limit_ = std::min(limit_, std::max(accepted_rate, quota_share_)) * kDecreaseFactor;
-  } else if (overloaded_ <= kHealthyFraction * ended_ && accepted_rate > limit_ / 2) {
+  } else if (overloaded_requests_ <= kHealthyFraction * ended_requests_ && accepted_rate > limit_ / 2) {
     limit_ *= 1 + increase_fraction_;
   }
   limit_ = std::max(limit_, min_limit(now));
-  ended_ = 0;
-  overloaded_ = 0;
-  next_review_at_ = now + kReviewPeriodS;
+  ended_requests_ = 0;
+  overloaded_requests_ = 0;
+  next_review_at_ = now + kReviewPeriod;
 }
 
-// Without a quota only the rate of responses in time shows what the tier can serve: above a fixed floor, each
-// review of a few requests would decrease the limit further.
-double TenantAdmission::min_limit(double now) const {
-  const double known_fraction = 1 - std::exp((first_end_at_ - now) / kInTimeTimeConstantS);
-  return std::max(floor_,
-                  in_time_multiple_ * in_time_rate_.at(now) / std::max(known_fraction, kMinKnownFraction));
+// Without a quota, only the rate of responses in time shows what the tier can serve. A lower bound that does
+// not follow this rate would let each review of a few requests decrease the limit further.
+double TenantAdmission::min_limit(Seconds now) const {
+  // The fraction of its final value that a constant rate shows after this time.
+  const double observed_fraction = 1 - std::exp((first_outcome_at_ - now) / kInTimeRateTimeConstant);
+  return std::max(fixed_min_limit_, in_time_limit_factor_ * in_time_rate_.at(now) /
+                                        std::max(observed_fraction, kMinObservedFraction));
 }
 
 TenantMetrics TenantAdmission::metrics(Seconds now) const {
-  const support::SlidingWindow::Sums sums = window_.sums(now);
-  return {limit_, suppression(sums), sums.total, sums.declined};
+  const support::SlidingWindow::Counts counts = window_.counts(now);
+  return {limit_, suppression(counts), counts.total, counts.rejected};
 }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/attempt.cpp
+++ b/src/balancer/attempt.cpp
@@ -1,16 +1,16 @@
-// The states of an attempt, and what its outcome proves.
+// The states of an attempt, and what the outcome of an attempt proves.
 #include "balancer/attempt.h"
 
 namespace asterdrift::balancer {
 
-Attempt::Attempt(std::size_t slot, const EndpointRecord& record, double now)
+Attempt::Attempt(std::size_t slot, const EndpointRecord& record, Seconds now)
     : slot_(slot),
       endpoint_hash_(record.hash),
       zone_(record.advertised.zone),
       cell_(record.advertised.cell),
       sent_at_(now) {}
 
-void Attempt::request_sent(double now) {
+void Attempt::request_sent(Seconds now) {
   state_ = State::kInFlight;
   sent_at_ = now;
 }
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,4 +1,4 @@
-// The balancer: turns each event into actions, by composing the classes that decide.
+// Turns each event into actions, by composing the classes that make the decisions.
 #include "asterdrift/balancer/balancer.h"
 
 #include <algorithm>
@@ -15,16 +15,17 @@
 namespace asterdrift::balancer {
 namespace {
 
-// An update has to be applied within 6 s of discovery being reachable: a silent watch of 2.7 s, a poll that
-// hangs as long, and the delays after both have to fit.
-constexpr double kMaxWatchRetryDelayS = 0.3;
-constexpr std::uint64_t kWatchTimer = 0;
+// An update has to be applied within 6 s after discovery has become reachable. This time has to suffice for a
+// silent watch of 2.7 s, a poll that hangs for another 2.7 s, and the delays after both.
+constexpr Seconds kMaxWatchRetryDelay = 0.3;
+constexpr std::uint64_t kWatchTimerToken = 0;
 
-// When a response to the request is of no use any more.
-double deadline(const Request& event, const RequestClass& rules, double clock_granularity, double now) {
+// The time from which a response to the request is of no use any more.
+Seconds response_deadline(const Request& event, const RequestClass& rules, Seconds clock_granularity,
+                          Seconds now) {
   if (rules.late_priority_weight > 0) return now + event.time_left;
-  const double work = event.announced_work.value_or(0);
-  const double objective =
+  const Seconds work = event.announced_work.value_or(0);
+  const Seconds objective =
       std::min(rules.latency_objective + rules.latency_objective_per_work * work, rules.timeout);
   return now + std::min(event.time_left, objective - 2 * clock_granularity);
 }
@@ -65,29 +66,30 @@
       log_shedding(SheddingLog::Reason::kTenantLimit);
       return;
     }
-    PendingRequest& request = begin(event);
-    if (send(event.id, request)) return;
-    if (!state_.traffic.is_low(state_.now)) admission.record_end(state_.now, true, false);
+    PendingRequest& request = add_request(event);
+    if (try_start_attempt(event.id, request)) return;
+    if (!state_.traffic.is_low(state_.now)) admission.record_outcome(state_.now, true, false);
     log_shedding(SheddingLog::Reason::kNoCapacity);
-    respond_unserved(event.id, request);
-    ledger_.forget_if_complete(event.id, request);
+    send_final_response(event.id, request);
+    ledger_.remove_if_complete(event.id, request);
   }
 
   void on(const AttemptResult& event) {
-    const auto open = ledger_.find_open(event.id, event.attempt);
+    const auto open = ledger_.find_open_attempt(event.id, event.attempt);
     if (!open) return;
     auto& [request, attempt] = *open;
     const bool is_recorded = attempt.state() == Attempt::State::kResponding;
-    ledger_.end(attempt, event.outcome);
+    ledger_.end_attempt(attempt, event.outcome);
     if (!is_recorded) recorder_.record(request, attempt, event.outcome, event.elapsed);
     if (event.request_done) finish(event.id, request);
-    if (!request.finished && !request.any_open()) continue_unserved(event.id, request);
-    ledger_.forget_if_complete(event.id, request);
+    if (!request.finished && !request.has_open_attempt()) retry_or_respond(event.id, request);
+    ledger_.remove_if_complete(event.id, request);
   }
 
-  // The latency of a streamed response counts up to its start: its end depends on its size and on the client.
+  // The latency of a streamed response is measured up to its start, since its end depends on its size and on
+  // the client.
   void on(const ResponseStarted& event) {
-    const auto open = ledger_.find_open(event.id, event.attempt);
+    const auto open = ledger_.find_open_attempt(event.id, event.attempt);
     if (!open) return;
     auto& [request, attempt] = *open;
     const bool is_recorded = attempt.state() == Attempt::State::kResponding;
@@ -97,7 +99,7 @@
   }
 
   void on(const RequestBodySent& event) {
-    const auto open = ledger_.find_open(event.id, event.attempt);
+    const auto open = ledger_.find_open_attempt(event.id, event.attempt);
     if (!open) return;
     auto& [request, attempt] = *open;
     if (!std::exchange(request.body_arriving, false)) return;
@@ -113,7 +115,7 @@
     PendingRequest* request = ledger_.find(event.id);
     if (request == nullptr) return;
     finish(event.id, *request);
-    ledger_.forget_if_complete(event.id, *request);
+    ledger_.remove_if_complete(event.id, *request);
   }
 
   void on(const EndpointUpdate& update) {
@@ -127,7 +129,7 @@
   }
 
   void on(const TimerFired& timer) {
-    if (timer.token == kWatchTimer) watch_endpoints();
+    if (timer.token == kWatchTimerToken) watch_endpoints();
   }
 
   void watch_endpoints() {
@@ -136,18 +138,18 @@
 
   void retry_watch() {
     if (!state_.settings.requires_watch) return;
-    const double poll_within = state_.settings.poll_within;
-    const double max_delay =
-        poll_within > 0 ? std::min(poll_within / 2, kMaxWatchRetryDelayS) : kMaxWatchRetryDelayS;
-    const double delay = max_delay * (0.5 + state_.random.unit() / 2);
-    actions_->push_back(SetTimer{state_.now + delay, kWatchTimer});
+    const Seconds poll_within = state_.settings.poll_within;
+    const Seconds max_delay =
+        poll_within > 0 ? std::min(poll_within / 2, kMaxWatchRetryDelay) : kMaxWatchRetryDelay;
+    const Seconds delay = max_delay * (0.5 + state_.random.unit() / 2);
+    actions_->push_back(SetTimer{state_.now + delay, kWatchTimerToken});
   }
 
   // Adds an admitted request to the ledger.
-  PendingRequest& begin(const Request& event) {
+  PendingRequest& add_request(const Request& event) {
     TrafficStatistics& traffic = state_.traffic;
     traffic.admission_rate.add(state_.now);
-    PendingRequest& request = ledger_.begin(event.id);
+    PendingRequest& request = ledger_.add(event.id);
     request.tenant = tenant_index(event.tenant);
     request.body_arriving = event.body_arriving;
     request.request_class = std::min(event.request_class, state_.settings.classes.size() - 1);
@@ -156,18 +158,18 @@
     if (std::isfinite(rules.latency_objective)) {
       traffic.objective.add(std::min(rules.latency_objective, rules.timeout), kLatencyGain);
     }
-    request.deadline = deadline(event, rules, state_.settings.clock_granularity, state_.now);
+    request.deadline = response_deadline(event, rules, state_.settings.clock_granularity, state_.now);
     return request;
   }
 
-  // Starts an attempt, and returns whether an endpoint could be selected in time.
-  bool send(const std::string& id, PendingRequest& request) {
+  // Starts an attempt if an endpoint can be selected before the deadline. Returns whether it was started.
+  bool try_start_attempt(const std::string& id, PendingRequest& request) {
     const std::optional<std::size_t> slot = selection_.select(request);
     if (!slot) return false;
     EndpointRecord& record = state_.endpoints[*slot];
-    const double timeout = retries_.attempt_timeout(request);
+    const Seconds timeout = retries_.attempt_timeout(request);
     if (timeout <= 0) return false;
-    if (!request.attempts.empty()) retries_.spend(request);
+    if (!request.attempts.empty()) retries_.record_retry(request);
     slow_start_.spend(record);
     ledger_.begin_attempt(request, *slot);
     actions_->push_back(
@@ -176,12 +178,13 @@
   }
 
   // Retries a request whose attempts have all ended, or gives it its final response.
-  void continue_unserved(const std::string& id, PendingRequest& request) {
-    if (retries_.may_retry(request) && send(id, request)) return;
-    respond_unserved(id, request);
+  void retry_or_respond(const std::string& id, PendingRequest& request) {
+    if (retries_.may_retry(request) && try_start_attempt(id, request)) return;
+    send_final_response(id, request);
   }
 
-  void respond_unserved(const std::string& id, PendingRequest& request) {
+  // Rejects the request if the client can safely retry it, and fails it otherwise.
+  void send_final_response(const std::string& id, PendingRequest& request) {
     if (retries_.may_reject(request)) {
       reject(id);
     } else {
@@ -194,7 +197,7 @@
     actions_->push_back(RejectRequest{id, state_.settings.max_retry_after / 2});
   }
 
-  // The request needs no further response.
+  // Ends a request that needs no further response.
   void finish(const std::string& id, PendingRequest& request) {
     if (!request.finished) cancel_open_attempts(id, request);
     request.finished = true;
@@ -208,11 +211,11 @@
   }
 
   void log_shedding(SheddingLog::Reason reason) {
-    std::optional<LogLine> line = shedding_log_.count(reason, state_.now);
+    std::optional<LogLine> line = shedding_log_.count_rejection(reason, state_.now);
     if (line) actions_->push_back(*std::move(line));
   }
 
-  // A tenant out of range has the last index, which stands for traffic without a tenant.
+  // Maps a tenant out of range to the last index, which stands for traffic without a tenant.
   std::size_t tenant_index(std::size_t tenant) const { return std::min(tenant, admission_.size() - 1); }
 
   ReplicaState state_;
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -1,4 +1,4 @@
-// Limits of requests in flight, from response rates and the latency without queueing.
+// Computes the limits of requests in flight from response rates and the latency without queueing.
 #include "balancer/concurrency_limit.h"
 
 #include <algorithm>
@@ -7,58 +7,65 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kEndpointQueueFactor = 1.5;  // x the idle latency; the longest queue of an endpoint
-constexpr double kTierQueueFactor = 1.8;      // x the idle latency; higher, since the tier's rate is steadier
-constexpr double kMinCapacity = 2;            // requests in flight at an endpoint, over all replicas
-constexpr double kStartCapacity = 6;  // requests in flight in addition, before an endpoint can have responded
-constexpr double kLowShare = 1.75;    // requests in flight; this replica's share of an endpoint
-constexpr double kLowTrafficStartCapacity = 1.5;  // requests in flight at the start; decays
-constexpr double kLowTrafficSlack = 0.4;  // requests in flight on average beyond the measured capacity
+// The longest latency that queueing may cause, as a multiple of the idle latency. It is higher for the tier,
+// since the response rate of the tier is steadier than that of one endpoint.
+constexpr double kEndpointQueueFactor = 1.5;
+constexpr double kTierQueueFactor = 1.8;
+
+// All capacities are numbers of requests in flight.
+constexpr double kMinCapacity = 2;    // at one endpoint, over all replicas
+constexpr double kStartCapacity = 6;  // in addition, before a new endpoint can have responded; decays
+// Below this, a replica's share of an endpoint's capacity counts as low.
+constexpr double kLowShare = 1.75;
+// At the tier while the traffic is low, in addition to the measured capacity.
+constexpr double kLowTrafficStartCapacity = 1.5;  // when the first endpoint list arrives; decays
+constexpr double kLowTrafficSlack = 0.4;          // always; compared with the mean number in flight
 
 }  // namespace
 
-void ConcurrencyLimit::on_endpoint_list() { started_at_ = std::min(started_at_, state_.now); }
+void ConcurrencyLimit::on_endpoint_list() { first_list_at_ = std::min(first_list_at_, state_.now); }
 
-// Capacity that is not measured is divided between the replicas by random offsets. Where this replica's share
-// of an endpoint is low, a fixed offset would exclude most replicas from it permanently, so each request
-// draws a new one.
+// Random offsets divide the capacity that is not measured between the replicas. If this replica's share of
+// the endpoint is low, a fixed offset would exclude most replicas from the endpoint permanently, so each
+// request draws a new offset.
 bool ConcurrencyLimit::is_below_limit(const EndpointRecord& record) {
   const TrafficStatistics& traffic = state_.traffic;
   if (traffic.is_low(state_.now)) return true;
   const double offset = is_endpoint_share_low() ? state_.random.unit() : record.rounding_offset;
   return record.in_flight + offset <
          unmeasured_capacity(record.first_seen_at) / state_.subset.sharing_replicas() +
-             kEndpointQueueFactor * traffic.idle_latency_s() * record.response_rate.at(state_.now);
+             kEndpointQueueFactor * traffic.idle_latency() * record.response_rate.at(state_.now);
 }
 
 bool ConcurrencyLimit::tier_has_capacity() const {
   if (!is_limited()) return true;
   const TrafficStatistics& traffic = state_.traffic;
-  const double now = state_.now;
-  // At the start of a replica with few requests the upper bound of the idle latency replaces the estimate,
-  // which would reject requests to a slow tier that is idle.
-  const bool is_known = traffic.idle_latency.is_learned() || !is_endpoint_share_low();
-  const double idle_latency_s =
-      is_known ? traffic.idle_latency_s() : kMaxIdleLatencyFraction * traffic.objective.mean;
-  const double measured = kTierQueueFactor * idle_latency_s * traffic.response_rate.at(now);
+  const Seconds now = state_.now;
+  // At the start of a replica with few requests, the upper bound of the idle latency replaces its estimate.
+  // With the estimate the replica would reject requests to a slow tier that is idle.
+  const bool use_estimate = traffic.idle_latency_fraction.is_learned() || !is_endpoint_share_low();
+  const Seconds idle_latency =
+      use_estimate ? traffic.idle_latency() : kMaxIdleLatencyFraction * traffic.objective.mean;
+  const double measured = kTierQueueFactor * idle_latency * traffic.response_rate.at(now);
   if (traffic.is_low(now)) {
-    const double start = kLowTrafficStartCapacity * std::exp((started_at_ - now) / kTierTimeConstantS);
+    const double start = kLowTrafficStartCapacity * std::exp((first_list_at_ - now) / kTierTimeConstant);
     return traffic.in_flight.mean(now) < kLowTrafficSlack + start + measured;
   }
-  const double start = unmeasured_capacity(started_at_) * static_cast<double>(state_.subset.size()) /
+  const double start = unmeasured_capacity(first_list_at_) * static_cast<double>(state_.subset.size()) /
                        state_.subset.sharing_replicas();
   return traffic.in_flight.level() < 1 + start + measured;
 }
 
-// Requests that may be in flight at an endpoint, over all replicas, regardless of its response rate.
-double ConcurrencyLimit::unmeasured_capacity(double since) const {
-  return kMinCapacity + kStartCapacity * std::exp((since - state_.now) / kResponseRateTimeConstantS);
+// The number of requests that all replicas together may have in flight at an endpoint, regardless of its
+// response rate. `since`: when the endpoint was first seen.
+double ConcurrencyLimit::unmeasured_capacity(Seconds since) const {
+  return kMinCapacity + kStartCapacity * std::exp((since - state_.now) / kResponseRateTimeConstant);
 }
 
 // Whether this replica's share of an average endpoint's capacity is too small to count in whole requests.
 bool ConcurrencyLimit::is_endpoint_share_low() const {
   const TrafficStatistics& traffic = state_.traffic;
-  const double in_flight = kEndpointQueueFactor * traffic.idle_latency_s() * traffic.request_rate(state_.now);
+  const double in_flight = kEndpointQueueFactor * traffic.idle_latency() * traffic.request_rate(state_.now);
   const double share = in_flight / static_cast<double>(state_.endpoints.ready().size());
   return share + kMinCapacity / state_.subset.sharing_replicas() < kLowShare;
 }
--- a/src/balancer/endpoint_record.h
+++ b/src/balancer/endpoint_record.h
@@ -1,44 +1,48 @@
-// What a replica knows of one endpoint.
+// What a replica knows about one endpoint.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
 #include "asterdrift/balancer/events.h"
+#include "asterdrift/seconds.h"
 #include "support/decaying_statistics.h"
 #include "support/token_bucket.h"
 
 namespace asterdrift::balancer {
 
-constexpr double kResponseRateTimeConstantS = 2;
-constexpr double kLatencyTimeConstantS = 8;  // after a few of these an ejected endpoint is tried again
-constexpr double kMaxLatencySamples = 4;     // more would delay detection by a replica with much traffic
-constexpr double kMinTrackedLatency = 0.01;  // decayed sum, as a fraction of the objective
+constexpr Seconds kResponseRateTimeConstant = 2;
+// An ejected endpoint is tried again after a few times this.
+constexpr Seconds kLatencyTimeConstant = 8;
+// With more samples, a replica with much traffic would detect an outlier later.
+constexpr double kMaxLatencySamples = 4;
+// The decayed sum of the latencies, as fractions of the objective, from which an endpoint is tracked.
+constexpr double kMinTrackedLatency = 0.01;
 
-// What an endpoint that is warming up may still be sent.
+// Limits the requests to an endpoint that is warming up.
 struct SlowStartBudget {
-  support::TokenBucket by_rate;
-  support::TokenBucket by_responses;
-  double refilled_at = 0;
-  std::uint64_t counted_responses = 0;  // of the replica, at the last refill
+  support::TokenBucket by_rate;       // refilled with time
+  support::TokenBucket by_responses;  // refilled with the responses that the replica receives
+  Seconds refilled_at = 0;
+  std::uint64_t counted_responses = 0;  // received by the replica before the last refill
 };
 
-// An endpoint as it is listed, and what has been measured of it.
+// An endpoint as discovery lists it, and the measurements of it.
 struct EndpointRecord {
   const std::string& name() const { return advertised.address; }
 
   Endpoint advertised = {};  // as in the last update
   std::uint64_t hash = 0;    // of the address; gives every replica the same order of endpoints
-  int in_flight = 0;         // requests
-  bool indexed = false;      // it is ready, and in the indexes
-  bool tracked = false;      // it may be an outlier
-  bool listed = false;       // by the last snapshot or since
+  int in_flight = 0;         // requests in flight at the endpoint
+  bool indexed = false;      // the endpoint is ready, and is contained in the indexes
+  bool tracked = false;      // the endpoint may be an outlier
+  bool listed = false;       // the last snapshot or a later update contains the endpoint
   SlowStartBudget slow_start = {};
-  support::DecayingRate response_rate{kResponseRateTimeConstantS};
-  support::DecayingMean latency{kLatencyTimeConstantS, kMaxLatencySamples};  // fractions of the objective
-  double sent_at_sum = 0;      // send times of the requests in flight, added up
-  double first_seen_at = 0;    // this process of the endpoint
-  double rounding_offset = 0;  // of this replica's share of its capacity, in requests
+  support::DecayingRate response_rate{kResponseRateTimeConstant};
+  support::DecayingMean latency{kLatencyTimeConstant, kMaxLatencySamples};  // as fractions of the objective
+  Seconds sent_at_sum = 0;     // sum of the send times of the requests in flight
+  Seconds first_seen_at = 0;   // when this replica first saw the endpoint's current process
+  double rounding_offset = 0;  // for rounding this replica's share of the capacity, in requests
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -1,4 +1,4 @@
-// Endpoint selection: which endpoint gets an attempt.
+// Endpoint selection: decides which endpoint gets an attempt.
 #pragma once
 
 #include <cstddef>
@@ -13,16 +13,17 @@
 
 namespace asterdrift::balancer {
 
-// Draws two random endpoints of the subset by weight, and selects the less busy one (power of two choices).
+// Draws two random endpoints of the subset by weight, and selects the less busy of the two (power of two
+// choices).
 class EndpointSelection {
  public:
-  // The arguments have to outlive the selection.
+  // The arguments have to outlive this object.
   EndpointSelection(ReplicaState& state, ConcurrencyLimit& concurrency, SlowStart& slow_start);
 
-  // The slot of an endpoint for the request's next attempt; none where no endpoint may get it.
+  // The slot of an endpoint for the request's next attempt; none if no endpoint may get the attempt.
   std::optional<std::size_t> select(const PendingRequest& request);
 
-  // An attempt had this latency, as a fraction of the objective.
+  // Records the latency of an attempt, as a fraction of the objective.
   void record_latency(const EndpointRecord& record, double latency);
 
  private:
@@ -31,8 +32,8 @@
   bool find_candidates(const PendingRequest& request);
   bool collect_candidates(const PendingRequest& request, Filter filter);
   bool is_candidate(const PendingRequest& request, EndpointRecord& record, Filter filter);
-  bool in_dedup_scope(const PendingRequest& request, const EndpointRecord& record) const;
-  support::CircularRange reachable(const PendingRequest& request) const;
+  bool would_deduplicate(const PendingRequest& request, const EndpointRecord& record) const;
+  support::CircularRange eligible_range(const PendingRequest& request) const;
   bool is_remote(const EndpointRecord& record) const;
   double remote_weight() const;
   double selection_weight(const EndpointRecord& record) const;
@@ -40,11 +41,11 @@
   ReplicaState& state_;
   ConcurrencyLimit& concurrency_;
   SlowStart& slow_start_;
-  std::vector<std::uint32_t> examined_;  // slots
+  std::vector<std::uint32_t> examined_slots_;
   support::WeightedSample<std::uint32_t> candidates_;
-  support::DecayingMean local_latency_;  // relative to the tier's
-  support::DecayingMean remote_latency_;
-  double remote_weight_ = 0;  // of the candidates that are being collected
+  support::DecayingMean local_latency_;   // as a multiple of the tier's latency
+  support::DecayingMean remote_latency_;  // likewise
+  double remote_weight_ = 0;              // remote_weight() when the collection of candidates began
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -8,13 +8,16 @@
 
 using support::OrderedIndex;
 
-constexpr std::size_t kRebuildDivisor = 16;  // a larger part of the endpoints changed: indexes are rebuilt
-constexpr int kTrackedChecks = 2;            // for each change of one endpoint; untracks more than are added
-
-// The record of another process at the same address, without the statistics of the previous one. The tokens
-// are random, since all replicas are notified at the same time and must not send at the same time.
-static EndpointRecord restarted(const EndpointRecord& previous, double now, std::uint64_t responses,
-                                support::Random& random) {
+// The indexes are rebuilt if an update changes more than about one in this many endpoints.
+constexpr std::size_t kRebuildDivisor = 16;
+// Each call of track() checks this many endpoints, so that more endpoints can be untracked than are added.
+constexpr int kChecksPerTrackedEndpoint = 2;
+
+// The record of a new process at the address of a previous one, without the statistics of the previous
+// process. The initial tokens are random, since all replicas are notified at the same time and must not send
+// their first requests at the same time.
+static EndpointRecord make_restarted_record(const EndpointRecord& previous, Seconds now,
+                                            std::uint64_t responses, support::Random& random) {
   const double rounding_offset = random.unit();
   const support::TokenBucket tokens(random.unit());
   return {.hash = previous.hash,
@@ -27,16 +30,16 @@
           .rounding_offset = rounding_offset};
 }
 
-void EndpointSet::apply(const EndpointUpdate& update, double now, std::uint64_t responses,
+void EndpointSet::apply(const EndpointUpdate& update, Seconds now, std::uint64_t responses,
                         support::Random& random) {
   const bool is_snapshot = update.form == EndpointUpdate::Form::kSnapshot;
   for (std::uint32_t slot = 0; is_snapshot && slot < size(); ++slot) records_[slot].listed = false;
   for (const Endpoint& advertised : update.endpoints) apply(advertised, now, responses, random);
-  for (std::uint32_t slot = 0; is_snapshot && slot < size(); ++slot) mark_removed(slot);
+  for (std::uint32_t slot = 0; is_snapshot && slot < size(); ++slot) remove_if_unlisted(slot);
   finish_update();
 }
 
-void EndpointSet::apply(const Endpoint& advertised, double now, std::uint64_t responses,
+void EndpointSet::apply(const Endpoint& advertised, Seconds now, std::uint64_t responses,
                         support::Random& random) {
   const auto [slot, is_new] = records_.find_or_add(advertised.address);
   EndpointRecord& record = records_[slot];
@@ -46,16 +49,16 @@
                          advertised.cell != previous.cell;
   if (record.indexed && (!is_ready || has_moved)) set_indexed(slot, false);
   if (is_new || advertised.started_at != previous.started_at)
-    record = restarted(record, now, responses, random);
+    record = make_restarted_record(record, now, responses, random);
   record.advertised = advertised;
   record.listed = true;
   if (!(record.advertised.weight > 0)) record.advertised.weight = 1;
-  if (is_ready && !record.indexed && !rebuild_) set_indexed(slot, true);
+  if (is_ready && !record.indexed && !must_rebuild_) set_indexed(slot, true);
   if (advertised.state == EndpointState::kRemoved) removed_.push_back(slot);
 }
 
-// An endpoint that a snapshot does not list has been removed.
-void EndpointSet::mark_removed(std::uint32_t slot) {
+// Removes an endpoint that the current snapshot does not contain.
+void EndpointSet::remove_if_unlisted(std::uint32_t slot) {
   EndpointRecord& record = records_[slot];
   if (record.listed || record.advertised.state == EndpointState::kRemoved) return;
   if (record.indexed) set_indexed(slot, false);
@@ -66,14 +69,15 @@
 void EndpointSet::finish_update() {
   std::sort(removed_.begin(), removed_.end());
   removed_.erase(std::unique(removed_.begin(), removed_.end()), removed_.end());
-  std::erase_if(removed_, [this](std::uint32_t slot) { return release(slot); });
-  if (rebuild_) rebuild_indexes();
+  std::erase_if(removed_, [this](std::uint32_t slot) { return finish_removal(slot); });
+  if (must_rebuild_) rebuild_indexes();
   index_changes_ = 0;
   if (ready_.size() <= kMaxExaminedEndpoints) sum_weights();
 }
 
-// Returns whether the slot is released or its endpoint has been listed again.
-bool EndpointSet::release(std::uint32_t slot) {
+// Releases the slot of a removed endpoint without requests in flight. Returns false if the slot has to be
+// kept because of requests in flight, and true if it is released or the endpoint has been listed again.
+bool EndpointSet::finish_removal(std::uint32_t slot) {
   EndpointRecord& record = records_[slot];
   if (record.advertised.state != EndpointState::kRemoved) return true;
   if (record.in_flight > 0) return false;
@@ -83,10 +87,10 @@
   return true;
 }
 
-void EndpointSet::track(std::size_t slot, double now) {
+void EndpointSet::track(std::size_t slot, Seconds now) {
   if (!records_[slot].tracked) tracked_.push_back(static_cast<std::uint32_t>(slot));
   records_[slot].tracked = true;
-  for (int check = 0; check < kTrackedChecks; ++check) {
+  for (int check = 0; check < kChecksPerTrackedEndpoint; ++check) {
     next_tracked_ = (next_tracked_ + 1) % tracked_.size();
     EndpointRecord& record = records_[tracked_[next_tracked_]];
     if (tracked_[next_tracked_] == slot || record.in_flight > 0) continue;
@@ -97,7 +101,8 @@
   }
 }
 
-// After too many changes by one update the indexes are cleared instead, and rebuilt at its end.
+// Adds an endpoint to the indexes or removes it. After too many changes by one update the indexes are cleared
+// instead, and rebuilt at the end of the update.
 void EndpointSet::set_indexed(std::uint32_t slot, bool indexed) {
   if (++index_changes_ > kMaxExaminedEndpoints + ready_.size() / kRebuildDivisor) return clear_indexes();
   EndpointRecord& record = records_[slot];
@@ -113,14 +118,14 @@
 }
 
 void EndpointSet::clear_indexes() {
-  rebuild_ = true;
+  must_rebuild_ = true;
   ready_weight_ = 0;
   ready_.for_each_slot(0, ready_.size(), [this](std::uint32_t slot) { records_[slot].indexed = false; });
   for (OrderedIndex* index : {&ready_, &other_zones_, &by_zone_, &by_cell_}) index->clear();
 }
 
 void EndpointSet::rebuild_indexes() {
-  rebuild_ = false;
+  must_rebuild_ = false;
   std::vector<OrderedIndex::Entry> zones, cells;
   records_.in_use().for_each_slot(0, records_.in_use().size(), [&](std::uint32_t slot) {
     EndpointRecord& record = records_[slot];
@@ -136,7 +141,8 @@
   by_cell_.assign(std::move(cells));
 }
 
-// In the order of the slots, so that the rounding of the sum does not depend on previous updates.
+// Adds the weights in the order of the slots, so that the rounding of the sum does not depend on previous
+// updates.
 void EndpointSet::sum_weights() {
   std::array<std::uint32_t, kMaxExaminedEndpoints> slots;
   std::size_t count = 0;
--- a/src/balancer/outcome_recorder.cpp
+++ b/src/balancer/outcome_recorder.cpp
@@ -1,4 +1,4 @@
-// Which statistics an outcome updates.
+// Determines which statistics an outcome updates.
 #include "balancer/outcome_recorder.h"
 
 #include <algorithm>
@@ -6,15 +6,18 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kOverloadedLatency = 0.6;   // of the objective; queues show before it is missed
-constexpr double kFailureLatencyFactor = 8;  // x the tier's latency; a failed attempt counts as at least this
+// Latency from which a response indicates overload, as a fraction of the objective: queues are detected
+// before responses miss the objective.
+constexpr double kOverloadedLatency = 0.6;
+// A failed attempt counts with at least this multiple of the tier's latency.
+constexpr double kFailureLatencyFactor = 8;
 
-double as_fraction_of_objective(double elapsed, const PendingRequest& request) {
-  const double objective = request.rules->latency_objective;
+double to_fraction_of_objective(Seconds elapsed, const PendingRequest& request) {
+  const Seconds objective = request.rules->latency_objective;
   return objective > 0 ? elapsed / objective : 0;
 }
 
-// Errors and broken connections say nothing about the capacity of the tier.
+// Whether the outcome depends on the capacity of the tier. Errors and broken connections do not.
 bool depends_on_capacity(Outcome outcome) {
   return outcome == Outcome::kSuccess || outcome == Outcome::kRejected || outcome == Outcome::kTimedOut ||
          outcome == Outcome::kConnectFailed;
@@ -23,12 +26,12 @@
 }  // namespace
 
 void OutcomeRecorder::record(const PendingRequest& request, const Attempt& attempt, Outcome outcome,
-                             double elapsed) {
+                             Seconds elapsed) {
   EndpointRecord& record = state_.endpoints[attempt.slot()];
-  if (record.hash != attempt.endpoint_hash()) return;  // the endpoint was removed, and its slot is reused
+  if (record.hash != attempt.endpoint_hash()) return;  // the endpoint was removed, and its slot was reused
   if (outcome == Outcome::kCancelled || outcome == Outcome::kNotSent) return;
   const bool was_healthy = !state_.outliers.is_outlier(record, state_.now);
-  const double latency = as_fraction_of_objective(elapsed, request);
+  const double latency = to_fraction_of_objective(elapsed, request);
   if (outcome == Outcome::kSuccess) record_response(record, latency);
   if (outcome == Outcome::kSuccess || outcome == Outcome::kTimedOut) {
     retries_.record_latency(request.request_class, elapsed);
@@ -40,11 +43,11 @@
 
 void OutcomeRecorder::record_response(EndpointRecord& record, double latency) {
   TrafficStatistics& traffic = state_.traffic;
-  retries_.earn();
+  retries_.record_success();
   record.response_rate.add(state_.now);
   traffic.response_rate.add(state_.now);
   ++traffic.response_count;
-  traffic.idle_latency.add(state_.now, latency);
+  traffic.idle_latency_fraction.add(state_.now, latency);
 }
 
 void OutcomeRecorder::record_endpoint_latency(EndpointRecord& record, Outcome outcome, double latency) {
@@ -55,14 +58,14 @@
   selection_.record_latency(record, counted);
 }
 
-// One outlier is no reason to lower a limit.
+// The overload of a single outlier does not lower the limit of a tenant.
 void OutcomeRecorder::record_admission(std::size_t tenant, Outcome outcome, double latency,
                                        bool was_healthy) {
   if (!depends_on_capacity(outcome)) return;
   const bool success = outcome == Outcome::kSuccess;
   const bool overloaded = !success || latency > kOverloadedLatency;
   if (overloaded && !was_healthy) return;
-  admission_[tenant].record_end(state_.now, overloaded, success && latency <= 1);
+  admission_[tenant].record_outcome(state_.now, overloaded, success && latency <= 1);
 }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/outcome_recorder.h
+++ b/src/balancer/outcome_recorder.h
@@ -1,8 +1,9 @@
-// Records the outcomes of attempts in the statistics that decisions depend on.
+// Records the outcomes of attempts in the statistics on which decisions depend.
 #pragma once
 
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "balancer/admission_control.h"
 #include "balancer/endpoint_selection.h"
 #include "balancer/pending_request.h"
@@ -11,18 +12,18 @@
 
 namespace asterdrift::balancer {
 
-// Updates the statistics of the endpoint, of its zone, of the tier and of the request's class, the retry
-// budget, and the rate limit of the tenant.
+// Updates the statistics of the endpoint, of its zone, of the tier and of the request's class; the retry
+// budget; and the rate limit of the tenant.
 class OutcomeRecorder {
  public:
-  // The arguments have to outlive the recorder. admission: by tenant.
+  // The arguments have to outlive this object. `admission` is indexed by tenant.
   OutcomeRecorder(ReplicaState& state, std::vector<TenantAdmission>& admission, EndpointSelection& selection,
                   RetryPolicy& retries)
       : state_(state), admission_(admission), selection_(selection), retries_(retries) {}
 
-  // Records an attempt that took `elapsed` seconds. To be called once for each attempt: when its response
-  // starts, or when it ends without one.
-  void record(const PendingRequest& request, const Attempt& attempt, Outcome outcome, double elapsed);
+  // Records an attempt that took the time `elapsed`. Has to be called once for each attempt: when its
+  // response starts, or when the attempt ends without a response.
+  void record(const PendingRequest& request, const Attempt& attempt, Outcome outcome, Seconds elapsed);
 
  private:
   void record_response(EndpointRecord& record, double latency);
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -1,4 +1,4 @@
-// The relative latency of an endpoint.
+// Computes the relative latency of an endpoint.
 #include "balancer/outlier_detection.h"
 
 #include <algorithm>
@@ -6,25 +6,27 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kMinRelativeLatency = 0.5;  // a few quick responses by chance must not attract all traffic
+// A few responses that are quick by chance must not attract all traffic to an endpoint.
+constexpr double kMinRelativeLatency = 0.5;
 constexpr double kMinTierLatencyFraction = 0.01;  // of the objective
-constexpr double kMinObjectiveS = 0.001;
-static_assert(kMinTrackedLatency < kPriorSamples * (kOutlierLatency - 1) * kMinTierLatencyFraction,
+constexpr Seconds kMinObjective = 0.001;
+static_assert(kMinTrackedLatency < kPriorSamples * (kOutlierRelativeLatency - 1) * kMinTierLatencyFraction,
               "endpoints that are not tracked must not be outliers");
 
 }  // namespace
 
-double OutlierDetection::relative_latency(const EndpointRecord& record, double now) const {
+double OutlierDetection::relative_latency(const EndpointRecord& record, Seconds now) const {
   const double tier_latency = std::max(traffic_.latency.mean, kMinTierLatencyFraction);
-  const double waited_s = record.in_flight * now - record.sent_at_sum;  // by all requests in flight together
-  const double in_flight = waited_s / std::max(traffic_.objective.mean, kMinObjectiveS);
-  const support::DecayingMean::Sum ended = record.latency.at(now);
+  // The waiting times of all requests in flight, added up.
+  const Seconds waited = record.in_flight * now - record.sent_at_sum;
+  const double in_flight = waited / std::max(traffic_.objective.mean, kMinObjective);
+  const support::DecayingMean::WeightedSum ended = record.latency.at(now);
   const double sum = kPriorSamples * tier_latency + ended.sum + in_flight;
   return std::max(sum / ((kPriorSamples + ended.weight) * tier_latency), kMinRelativeLatency);
 }
 
-bool OutlierDetection::is_outlier(const EndpointRecord& record, double now) const {
-  return relative_latency(record, now) >= kOutlierLatency;
+bool OutlierDetection::is_outlier(const EndpointRecord& record, Seconds now) const {
+  return relative_latency(record, now) >= kOutlierRelativeLatency;
 }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/pending_request.cpp
+++ b/src/balancer/pending_request.cpp
@@ -7,7 +7,7 @@
 
 namespace asterdrift::balancer {
 
-bool PendingRequest::any_open() const { return std::ranges::any_of(attempts, &Attempt::is_open); }
+bool PendingRequest::has_open_attempt() const { return std::ranges::any_of(attempts, &Attempt::is_open); }
 
 bool PendingRequest::may_have_run() const { return std::ranges::any_of(attempts, &Attempt::may_have_run); }
 
@@ -15,8 +15,8 @@
   return !attempts.empty() && attempts.back().connect_failed() ? 0 : 1;
 }
 
-double PendingRequest::dedup_time_left(double now) const {
-  double time_left = kInfinity;
+Seconds PendingRequest::dedup_time_left(Seconds now) const {
+  Seconds time_left = kInfinity;
   if (rules->idempotency != Idempotency::kIdempotencyKey) return time_left;
   for (std::size_t i = 0; i + 1 < attempts.size(); ++i) {
     if (!attempts[i].may_have_run()) continue;
--- a/src/balancer/replica_state.h
+++ b/src/balancer/replica_state.h
@@ -1,6 +1,7 @@
 // The state that all decisions of one replica share.
 #pragma once
 
+#include "asterdrift/seconds.h"
 #include "balancer/endpoint_set.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/settings_validation.h"
@@ -10,7 +11,7 @@
 
 namespace asterdrift::balancer {
 
-// The settings, the time, the random numbers, and what has been measured.
+// The settings, the time, the random numbers and the measurements of a replica.
 struct ReplicaState {
   // Throws std::invalid_argument, naming the field, when the settings cannot be used.
   ReplicaState(const Settings& configured, std::uint64_t seed)
@@ -18,7 +19,7 @@
 
   const Settings settings;
   support::Random random;
-  double now = 0;  // s; the time of the event that is being handled
+  Seconds now = 0;  // time of the event that is being handled
   TrafficStatistics traffic;
   OutlierDetection outliers{traffic};
   EndpointSet endpoints;
--- a/src/balancer/request_ledger.cpp
+++ b/src/balancer/request_ledger.cpp
@@ -1,4 +1,4 @@
-// Keeps attempts and the requests in flight of endpoints and tier consistent.
+// Keeps the counts of requests in flight consistent with the attempts.
 #include "balancer/request_ledger.h"
 
 namespace asterdrift::balancer {
@@ -8,20 +8,22 @@
   return found == requests_.end() ? nullptr : &found->second;
 }
 
-std::optional<RequestLedger::OpenAttempt> RequestLedger::find_open(const std::string& id, int number) {
+std::optional<RequestLedger::OpenAttempt> RequestLedger::find_open_attempt(const std::string& id,
+                                                                           int number) {
   PendingRequest* request = find(id);
-  const auto index = static_cast<std::size_t>(number);  // a negative number is past the end too
+  const auto index = static_cast<std::size_t>(number);  // a negative number becomes an index past the end
   if (request == nullptr || index >= request->attempts.size()) return std::nullopt;
   Attempt& attempt = request->attempts[index];
   if (!attempt.is_open()) return std::nullopt;
   return OpenAttempt{*request, attempt};
 }
 
-void RequestLedger::forget_if_complete(const std::string& id, const PendingRequest& request) {
-  if (request.finished && !request.any_open()) requests_.erase(id);
+void RequestLedger::remove_if_complete(const std::string& id, const PendingRequest& request) {
+  if (request.finished && !request.has_open_attempt()) requests_.erase(id);
 }
 
-// Requests whose bodies are still arriving are not in flight: a few slow clients would use up the capacity.
+// Requests whose bodies are still arriving do not count as in flight: otherwise a few slow clients would use
+// up the capacity.
 void RequestLedger::begin_attempt(PendingRequest& request, std::size_t slot) {
   EndpointRecord& record = state_.endpoints[slot];
   Attempt& attempt = request.attempts.emplace_back(slot, record, state_.now);
@@ -30,7 +32,7 @@
 
 void RequestLedger::request_sent(Attempt& attempt) {
   EndpointRecord& record = state_.endpoints[attempt.slot()];
-  if (record.hash != attempt.endpoint_hash()) return;  // the endpoint was removed, and its slot is reused
+  if (record.hash != attempt.endpoint_hash()) return;  // the endpoint was removed, and its slot was reused
   add_in_flight(record, attempt);
 }
 
@@ -39,7 +41,7 @@
   attempt.response_started();
 }
 
-void RequestLedger::end(Attempt& attempt, Outcome outcome) {
+void RequestLedger::end_attempt(Attempt& attempt, Outcome outcome) {
   remove_in_flight(attempt);
   attempt.end(outcome);
 }
--- a/src/balancer/request_ledger.h
+++ b/src/balancer/request_ledger.h
@@ -11,52 +11,53 @@
 
 namespace asterdrift::balancer {
 
-// Owns the pending requests, and keeps the requests in flight of endpoints and of the tier consistent with
-// their attempts.
+// Owns the pending requests, and keeps the counts of requests in flight, of the endpoints and of the tier,
+// consistent with the attempts.
 class RequestLedger {
  public:
-  // An open attempt and its request.
+  // An open attempt and the request that it belongs to.
   struct OpenAttempt {
     PendingRequest& request;
     Attempt& attempt;
   };
 
-  // The state has to outlive the ledger.
+  // `state` has to outlive this object.
   explicit RequestLedger(ReplicaState& state) : state_(state) {}
 
   bool contains(const std::string& id) const { return requests_.contains(id); }
 
-  // Adds a request. The reference is valid until forget().
-  PendingRequest& begin(const std::string& id) { return requests_[id]; }
+  // Adds a request. The reference is valid until the request is removed.
+  PendingRequest& add(const std::string& id) { return requests_[id]; }
 
-  // Null where the request has been forgotten.
+  // The request; null if it does not exist or has been removed.
   PendingRequest* find(const std::string& id);
 
-  // The attempt with this number, if it has not ended.
-  std::optional<OpenAttempt> find_open(const std::string& id, int number);
+  // The attempt of the request with this number, if the attempt exists and has not ended.
+  std::optional<OpenAttempt> find_open_attempt(const std::string& id, int number);
 
-  // Removes a request that is finished and has no open attempts; leaves others.
-  void forget_if_complete(const std::string& id, const PendingRequest& request);
+  // Removes the request if it is finished and has no open attempts.
+  void remove_if_complete(const std::string& id, const PendingRequest& request);
 
-  // Starts an attempt at the endpoint of a slot. It is in flight unless the request's body is still arriving.
+  // Starts an attempt at the endpoint in `slot`. The attempt is in flight unless the request's body is still
+  // arriving.
   void begin_attempt(PendingRequest& request, std::size_t slot);
 
-  // The endpoint has the complete request.
+  // Records that the endpoint has the complete request.
   void request_sent(Attempt& attempt);
 
-  // The endpoint has begun to respond.
+  // Records that the endpoint has begun to respond.
   void response_started(Attempt& attempt);
 
-  // The attempt is over.
-  void end(Attempt& attempt, Outcome outcome);
+  // Records that the attempt has ended.
+  void end_attempt(Attempt& attempt, Outcome outcome);
 
  private:
   void add_in_flight(EndpointRecord& record, Attempt& attempt);
   void remove_in_flight(const Attempt& attempt);
 
   ReplicaState& state_;
-  std::unordered_map<std::string, PendingRequest>
-      requests_;  // never iterated: its order is not deterministic
+  // Must not be iterated: the order of its elements is not deterministic.
+  std::unordered_map<std::string, PendingRequest> requests_;
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -1,46 +1,48 @@
-// Retry policy: attempt time-outs, the retry budget, and how a request without a response may end.
+// Retry policy: timeouts of attempts, the retry budget, and how a request without a response may end.
 #pragma once
 
 #include <cstddef>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "balancer/pending_request.h"
 #include "balancer/replica_state.h"
 
 namespace asterdrift::balancer {
 
-// Decides for one request at a time. Retries are limited by a budget that successful responses refill.
+// Decides about the retries of each request. Retries are limited by a budget that successful responses
+// refill.
 class RetryPolicy {
  public:
-  // The state has to outlive the policy.
+  // `state` has to outlive this object.
   explicit RetryPolicy(const ReplicaState& state);
 
-  // Seconds that the next attempt may take: until the request's deadline, or until the response is clearly
-  // late while a retry can still follow.
-  double attempt_timeout(const PendingRequest& request) const;
+  // The timeout of the next attempt: the time until the request's deadline or, if a retry can still follow,
+  // the time after which the response is clearly late.
+  Seconds attempt_timeout(const PendingRequest& request) const;
 
-  // Whether a request without an open attempt may have one more.
+  // Whether a request without an open attempt may have one more attempt.
   bool may_retry(const PendingRequest& request) const;
 
-  // Whether a request may end as rejected. A rejection promises that the client can safely retry: nothing has
-  // run, or the servers deduplicate.
+  // Whether a request may be rejected. A rejection promises that the client can safely retry: no server has
+  // executed the request, or the servers deduplicate it.
   bool may_reject(const PendingRequest& request) const;
 
-  // A retry of the request is sent.
-  void spend(const PendingRequest& request);
+  // Takes the cost of a retry, which is being sent, from the retry budget.
+  void record_retry(const PendingRequest& request);
 
-  // A successful response has been received.
-  void earn();
+  // Refills the retry budget for a successful response.
+  void record_success();
 
-  // An attempt for a request of this class took `elapsed` seconds.
-  void record_latency(std::size_t request_class, double elapsed);
+  // Records the time that an attempt for a request of this class took.
+  void record_latency(std::size_t request_class, Seconds elapsed);
 
  private:
   std::size_t max_attempts() const;
 
   const ReplicaState& state_;
-  std::vector<support::SampledEstimate> latency_;  // s, by class
-  double tokens_;                                  // retry budget
+  std::vector<support::SampledEstimate> latency_;  // by class, in seconds
+  double retry_tokens_;
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/shedding_log.cpp
+++ b/src/balancer/shedding_log.cpp
@@ -6,12 +6,12 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kPeriodS = 5;
+constexpr Seconds kSummaryPeriod = 5;
 
 }  // namespace
 
-std::optional<LogLine> SheddingLog::count(Reason reason, double now) {
-  if (over_tenant_limit_ + without_capacity_ == 0) next_line_at_ = now + kPeriodS;
+std::optional<LogLine> SheddingLog::count_rejection(Reason reason, Seconds now) {
+  if (over_tenant_limit_ + without_capacity_ == 0) next_line_at_ = now + kSummaryPeriod;
   int& rejections = reason == Reason::kTenantLimit ? over_tenant_limit_ : without_capacity_;
   ++rejections;
   if (now < next_line_at_) return std::nullopt;
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -1,4 +1,4 @@
-// Budgets of endpoints that are warming up.
+// The budgets of endpoints that are warming up.
 #include "balancer/slow_start.h"
 
 #include <algorithm>
@@ -7,15 +7,18 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kRateBudgetFraction = 0.5;       // of overload_multiple x the assured capacity
-constexpr double kTrustFactor = 2;                // x that budget; added at most for low latency
-constexpr double kResponseBudgetFraction = 0.75;  // of overload_multiple x the assured capacity
-constexpr double kBurstFraction = 0.25;           // of overload_window; tokens saved beyond one request
+// The two budgets, as fractions of overload_multiple times the assured capacity.
+constexpr double kRateBudgetFraction = 0.5;
+constexpr double kResponseBudgetFraction = 0.75;
+// Low latency adds at most this multiple of the rate budget to the rate budget.
+constexpr double kTrustFactor = 2;
+// Beyond one request, a budget can save tokens for this fraction of overload_window.
+constexpr double kBurstFraction = 0.25;
 
 }  // namespace
 
-// A replica sends the endpoint its share of the admitted requests, scaled to what the endpoint can serve yet.
-// Requests beyond the quotas do not enlarge it.
+// A replica sends the endpoint the endpoint's share of the admitted requests, scaled to the capacity that the
+// endpoint has already. Requests beyond the quotas do not increase this share.
 bool SlowStart::allows(EndpointRecord& record) {
   const double warm = warm_fraction(record);
   if (warm >= 1) return true;
@@ -35,22 +38,23 @@
   record.slow_start.by_responses.spend();
 }
 
-// The fraction of its full capacity that an endpoint is assured to have by now.
+// The fraction of its full capacity that an endpoint certainly has now.
 double SlowStart::warm_fraction(const EndpointRecord& record) const {
   const Settings& settings = state_.settings;
   if (record.advertised.started_at == 0 || settings.slow_start_duration <= 0) return 1;
-  const double age_s = std::max(0.0, state_.now - record.advertised.started_at);
+  const Seconds age = std::max(0.0, state_.now - record.advertised.started_at);
   const double initial = settings.slow_start_capacity;
-  return std::min(1.0, initial + (1 - initial) * age_s / settings.slow_start_duration);
+  return std::min(1.0, initial + (1 - initial) * age / settings.slow_start_duration);
 }
 
-// The fraction of a warm endpoint's requests that an endpoint warming up may get. It grows where the endpoint
-// responds as quickly as others: load warms it up sooner than assured.
+// The fraction of a warm endpoint's requests that an endpoint that is warming up may get. The fraction
+// increases if the endpoint responds as quickly as others: under load an endpoint warms up sooner than is
+// assured.
 double SlowStart::budget_fraction(const EndpointRecord& record, double warm_fraction) const {
   const TrafficStatistics& traffic = state_.traffic;
   const double samples = record.latency.at(state_.now).weight;
-  const double idle =
-      traffic.idle_latency.is_learned() ? traffic.idle_latency.value() : kMaxIdleLatencyFraction;
+  const double idle = traffic.idle_latency_fraction.is_learned() ? traffic.idle_latency_fraction.value()
+                                                                 : kMaxIdleLatencyFraction;
   const double relative_to_idle =
       state_.outliers.relative_latency(record, state_.now) * std::max(1.0, traffic.latency.mean / idle);
   const double trust = std::clamp(2 - relative_to_idle, 0.0, 1.0) * (samples / (kPriorSamples + samples));
@@ -58,8 +62,9 @@
                            (1 + kTrustFactor * trust));
 }
 
-// Tokens are added with time and with responses. The responses limit the budget where more requests arrive
-// than the tier can serve, as in a burst or with more replicas than configured.
+// Adds tokens for the time that has passed and for the responses that have arrived, and returns whether both
+// buckets have a token. The responses limit the budget if more requests arrive than the tier can serve, as in
+// a burst or with more replicas than configured.
 bool SlowStart::refill(SlowStartBudget& budget, double rate, double tokens_per_response) const {
   const double max_tokens = 1 + rate * state_.settings.overload_window * kBurstFraction;
   const auto responses = static_cast<double>(state_.traffic.response_count - budget.counted_responses);
@@ -69,10 +74,10 @@
   budget.by_responses.add(from_responses, max_tokens);
   budget.refilled_at = state_.now;
   budget.counted_responses = state_.traffic.response_count;
-  return budget.by_rate.has_one() && budget.by_responses.has_one();
+  return budget.by_rate.has_token() && budget.by_responses.has_token();
 }
 
-// Measured once for each event: selection checks every endpoint that is warming up.
+// Measures only once for each event, since a selection checks every endpoint that is warming up.
 double SlowStart::capacity_per_response() {
   if (measured_at_ == state_.now) return capacity_per_response_;
   measured_at_ = state_.now;
@@ -80,9 +85,9 @@
   return capacity_per_response_;
 }
 
-// The responses of this replica's share of the tier, if all of it were warm and healthy, for each response of
-// now. Endpoints warming up count with their assured capacity. Infinite where none is warm, since their
-// responses do not show the capacity of the tier.
+// The number of responses that this replica's share of the tier would give, if all its endpoints were warm
+// and healthy, for each response that it gives now. Endpoints that are warming up count with their assured
+// capacity. Infinite if no endpoint is warm, since the responses then do not show the capacity of the tier.
 double SlowStart::measure_capacity_per_response() const {
   double total = 0;
   double assured = 0;
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -1,22 +1,23 @@
-// Slow start: limits what an endpoint that has just started is sent.
+// Slow start: limits the requests to an endpoint that has just started.
 #pragma once
 
+#include "asterdrift/seconds.h"
 #include "balancer/replica_state.h"
 
 namespace asterdrift::balancer {
 
-// Keeps all replicas together from overloading an endpoint that is warming up. Each replica spends a budget
-// for each such endpoint, without communication with the other replicas.
+// Ensures that all replicas together do not overload an endpoint that is warming up. Each replica has a
+// budget of its own for each such endpoint, without communication with the other replicas.
 class SlowStart {
  public:
-  // The state has to outlive the slow start.
+  // `state` has to outlive this object.
   explicit SlowStart(ReplicaState& state) : state_(state) {}
 
-  // Whether the endpoint's budget allows one more request; always true for a warm endpoint. Refills the
-  // budget.
+  // Refills the endpoint's budget, and returns whether the budget allows one more request. Always true for an
+  // endpoint that is not warming up.
   bool allows(EndpointRecord& record);
 
-  // A request is sent to the endpoint.
+  // Takes a request, which is being sent to the endpoint, from the endpoint's budget.
   void spend(EndpointRecord& record) const;
 
  private:
@@ -28,7 +29,7 @@
 
   ReplicaState& state_;
   double capacity_per_response_ = 0;
-  double measured_at_ = -kInfinity;
+  Seconds measured_at_ = -kInfinity;
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -1,11 +1,12 @@
-// Ranges of the endpoints' order for each replica, and samples of them.
+// Computes a replica's ranges of the ordered endpoints, and takes samples of the ranges.
 #include "balancer/subset.h"
 
 #include <algorithm>
 
 namespace asterdrift::balancer {
 
-// Evenly spaced on a ring: any two endpoints differ by at most one in how many replicas use them.
+// The start positions of the subsets are evenly spaced on a ring: the numbers of replicas that use any two
+// endpoints differ by at most one.
 static std::size_t subset_start(std::size_t replica_index, std::size_t replica_count, std::size_t endpoints) {
   return replica_index * endpoints / replica_count;
 }
@@ -24,17 +25,17 @@
   const auto replica_count = static_cast<std::size_t>(settings.replica_count);
   const std::size_t ready = endpoints.ready().size();
   const support::CircularRange local = endpoints.in_zone(settings.zone);
-  // The subset includes a proportional part of the other zones, which is used less because of its cost: no
-  // zone is overloaded while another is idle.
+  // The subset includes a proportional part of the other zones, so that no zone is overloaded while another
+  // is idle. Endpoints of other zones are used less because of their cost.
   prefers_own_zone_ = settings.cross_zone_cost > 0 && local.size >= kMinZoneSize;
   ranges_ = prefers_own_zone_ ? std::vector{local, endpoints.other_zones()} : std::vector{endpoints.all()};
-  if (size_ == 0) next_ = subset_start(replica_index, replica_count, ready);
+  if (size_ == 0) next_position_ = subset_start(replica_index, replica_count, ready);
   size_ = 0;
   for (support::CircularRange& range : ranges_) {
-    // With few replicas a fixed size would leave some endpoints unused.
-    const std::size_t covering =
+    // With few replicas, subsets of a fixed size would leave some endpoints unused.
+    const std::size_t min_covering_size =
         (kMinSharingReplicas * range.circumference + replica_count - 1) / replica_count;
-    range.size = std::min(range.circumference, std::max(kMinSubsetSize, covering));
+    range.size = std::min(range.circumference, std::max(kMinSubsetSize, min_covering_size));
     range.start = subset_start(replica_index, replica_count, range.circumference);
     size_ += range.size;
   }
@@ -57,8 +58,8 @@
 void Subset::sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots) {
   slots.clear();
   if (range.size <= kMaxExaminedEndpoints) return range.collect(0, range.size, slots);
-  range.collect(next_ % range.size, kMaxExaminedEndpoints, slots);
-  next_ += kMaxExaminedEndpoints;
+  range.collect(next_position_ % range.size, kMaxExaminedEndpoints, slots);
+  next_position_ += kMaxExaminedEndpoints;
 }
 
 std::size_t Subset::sample_size(const support::CircularRange& range) const {
--- a/src/balancer/traffic_statistics.cpp
+++ b/src/balancer/traffic_statistics.cpp
@@ -4,24 +4,26 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kAdmissionTimeConstantS = 5;
-constexpr double kLowInFlight = 3;  // requests in flight on average
-// The baseline follows a quicker tier soon but a slower one hardly, since queueing makes a tier slower too.
+constexpr Seconds kAdmissionTimeConstant = 5;
+// Traffic is low below this average number of requests in flight.
+constexpr double kLowInFlight = 3;
+// The baseline follows a decrease of the latency quickly and an increase slowly, since queueing also
+// increases the latency.
 constexpr support::AsymmetricBaseline::Parameters kIdleLatency = {.initial = 0.15,
                                                                   .max = kMaxIdleLatencyFraction,
                                                                   .gain = 0.02,
                                                                   .min_samples = 20,
-                                                                  .settle_time_s = 3,
-                                                                  .fall_time_s = 5,
-                                                                  .rise_time_s = 60};
+                                                                  .settle_time = 3,
+                                                                  .fall_time = 5,
+                                                                  .rise_time = 60};
 
 }  // namespace
 
 TrafficStatistics::TrafficStatistics(const Settings& settings)
-    : idle_latency(kIdleLatency),
-      admission_rate(kAdmissionTimeConstantS),
-      response_rate(kTierTimeConstantS),
-      in_flight(kTierTimeConstantS) {
+    : idle_latency_fraction(kIdleLatency),
+      admission_rate(kAdmissionTimeConstant),
+      response_rate(kTierTimeConstant),
+      in_flight(kTierTimeConstant) {
   for (const RequestClass& request_class : settings.classes)
     objective.add(request_class.latency_objective, 0);
   for (const Tenant& tenant : settings.tenants) {
@@ -29,8 +31,8 @@
   }
 }
 
-bool TrafficStatistics::is_low(double now) const {
-  return request_rate(now) * idle_latency_s() < kLowInFlight;
+bool TrafficStatistics::is_low(Seconds now) const {
+  return request_rate(now) * idle_latency() < kLowInFlight;
 }
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -6,31 +6,34 @@
 #include <limits>
 
 #include "asterdrift/balancer/settings.h"
+#include "asterdrift/seconds.h"
 #include "support/decaying_statistics.h"
 
 namespace asterdrift::balancer {
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 constexpr double kLatencyGain = 0.05;            // weight of one sample in the latency estimates
-constexpr double kTierTimeConstantS = 2.5;       // of the in-flight level and response rate of the tier
+constexpr Seconds kTierTimeConstant = 2.5;       // of the tier's requests in flight and response rate
 constexpr double kMaxIdleLatencyFraction = 0.3;  // of the latency objective
 
-// What a replica has measured of the requests that it admits and of the responses to them.
+// A replica's measurements of the requests that it admits and of the responses to them.
 struct TrafficStatistics {
-  // Nothing is measured yet: the objective is averaged over the classes, the quotas are the configured ones.
+  // Initial statistics, before any measurement: the objective is averaged over the classes, and the quotas
+  // are the configured ones.
   explicit TrafficStatistics(const Settings& settings);
 
-  // Requests per second: the admitted rate, but at least the rate of the quotas.
-  double request_rate(double now) const { return std::max(quota_rate, admission_rate.at(now)); }
-  // Seconds; the latency of the tier when no requests queue.
-  double idle_latency_s() const { return idle_latency.value() * objective.mean; }
-  // Whether so few requests are in flight that their number at one moment is not meaningful.
-  bool is_low(double now) const;
-
-  double quota_rate = 0;                     // requests/s; this replica's share of the quotas of all tenants
-  support::SampledEstimate objective;        // s; latency objective of the incoming requests
-  support::SampledEstimate latency;          // of the tier, as a fraction of the objective
-  support::AsymmetricBaseline idle_latency;  // the same without queueing
+  // The rate of admitted requests per second, but at least the rate of the quotas.
+  double request_rate(Seconds now) const { return std::max(quota_rate, admission_rate.at(now)); }
+  // The latency of the tier when no requests queue.
+  Seconds idle_latency() const { return idle_latency_fraction.value() * objective.mean; }
+  // Whether the traffic is so low that the number of requests in flight at one moment is not meaningful.
+  bool is_low(Seconds now) const;
+
+  double quota_rate = 0;  // this replica's share of the quotas of all tenants, in requests per second
+  support::SampledEstimate objective;  // latency objective of the incoming requests, in seconds
+  support::SampledEstimate latency;    // latency of the tier, as a fraction of the objective
+  support::AsymmetricBaseline
+      idle_latency_fraction;  // latency of the tier without queueing, as such a fraction
   support::DecayingRate admission_rate;
   support::DecayingRate response_rate;
   std::uint64_t response_count = 0;
--- a/src/support/named_slots.h
+++ b/src/support/named_slots.h
@@ -1,4 +1,4 @@
-// Elements with names, in numbered slots.
+// A container of named elements in numbered slots.
 #pragma once
 
 #include <array>
@@ -13,13 +13,13 @@
 
 namespace asterdrift::support {
 
-// Slots are reused after their removal. They never move: references to elements remain valid, and growing
-// does not copy elements. An Element has a member `std::uint64_t hash`, which is set here, and a function
-// `const std::string& name() const`.
+// Slots are reused after their removal. Elements never move in memory: references to them remain valid, and
+// growing the container does not copy elements. An Element has a member `std::uint64_t hash`, which
+// NamedSlots sets to the hash of the name, and a function `const std::string& name() const`.
 template <class Element>
 class NamedSlots {
  public:
-  // Number of slots, in use or not.
+  // Number of slots, including those that are not in use.
   std::size_t size() const { return size_; }
   Element& operator[](std::size_t slot) {
     ++reads_;
@@ -40,7 +40,7 @@
     bool is_new;
   };
 
-  // Finds the slot of a name, or acquires one. The caller gives a new element its name.
+  // Finds the slot of a name, or acquires a slot for it. The caller has to set the name of a new element.
   FoundSlot find_or_add(const std::string& name) {
     const std::uint64_t hash = hash_text(name);
     const std::size_t found = position(in_use_, key_of(hash), hash, name);
@@ -54,7 +54,7 @@
     return {slot, true};
   }
 
-  // Releases a slot. The element stays as it is until the slot is used again.
+  // Releases a slot. Its element stays unchanged until the slot is used again.
   void remove(std::uint32_t slot) {
     erase_from(in_use_, key_of(element(slot).hash), slot);
     released_.push_back(slot);
@@ -65,7 +65,7 @@
   void insert_into(OrderedIndex& index, std::uint32_t key, std::uint32_t slot) const {
     index.insert(position(index, key, element(slot).hash, element(slot).name()), {key, slot});
   }
-  // Removes a slot from such an index.
+  // Removes a slot from an index that insert_into() has filled.
   void erase_from(OrderedIndex& index, std::uint32_t key, std::uint32_t slot) const {
     index.erase(position(index, key, element(slot).hash, element(slot).name()));
   }
@@ -80,7 +80,8 @@
   Element& element(std::size_t slot) { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
   const Element& element(std::size_t slot) const { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
 
-  // The position of a name in an index among the entries with its key, or where it would be inserted.
+  // The position of a name among the entries of an index with its key, or the position for inserting the
+  // name.
   std::size_t position(const OrderedIndex& index, std::uint32_t key, std::uint64_t hash,
                        const std::string& name) const {
     return index.partition_point([&](OrderedIndex::Entry entry) {
--- a/src/support/ordered_index.cpp
+++ b/src/support/ordered_index.cpp
@@ -1,11 +1,11 @@
-// Blocks of an order-statistics list.
+// The blocks of an order-statistics list.
 #include "support/ordered_index.h"
 
 namespace asterdrift::support {
 namespace {
 
-constexpr std::size_t kBlockCapacity = 64;  // entries
-constexpr std::size_t kAppendFill = 48;     // entries of a block that is built by appending
+constexpr std::size_t kBlockCapacityEntries = 64;
+constexpr std::size_t kAppendedBlockEntries = 48;  // size of a block that is built by appending
 
 std::ptrdiff_t offset(std::size_t position) { return static_cast<std::ptrdiff_t>(position); }
 
@@ -27,7 +27,7 @@
 void OrderedIndex::insert(std::size_t position, Entry entry) {
   if (blocks_.empty()) insert_block(0);
   std::size_t block = block_of(position);
-  if (blocks_[block].size() == kBlockCapacity) {
+  if (blocks_[block].size() == kBlockCapacityEntries) {
     split(block);
     if (position > starts_[block + 1]) ++block;
   }
@@ -42,10 +42,10 @@
   --size_;
   for (std::size_t i = block + 1; i < starts_.size(); ++i) --starts_[i];
   if (blocks_[block].empty()) return erase_block(block);
-  // Merge small adjacent blocks, so that blocks stay about half full.
+  // Merges small adjacent blocks, so that blocks stay about half full.
   if (block + 1 == blocks_.size() && block > 0) --block;
   if (block + 1 == blocks_.size()) return;
-  if (blocks_[block].size() + blocks_[block + 1].size() > kBlockCapacity / 2) return;
+  if (blocks_[block].size() + blocks_[block + 1].size() > kBlockCapacityEntries / 2) return;
   blocks_[block].insert(blocks_[block].end(), blocks_[block + 1].begin(), blocks_[block + 1].end());
   erase_block(block + 1);
 }
@@ -63,7 +63,7 @@
 }
 
 void OrderedIndex::append(Entry entry) {
-  if (blocks_.empty() || blocks_.back().size() >= kAppendFill) insert_block(blocks_.size());
+  if (blocks_.empty() || blocks_.back().size() >= kAppendedBlockEntries) insert_block(blocks_.size());
   blocks_.back().push_back(entry);
   ++size_;
 }
@@ -74,7 +74,7 @@
 }
 
 void OrderedIndex::insert_block(std::size_t block) {
-  blocks_.emplace(blocks_.begin() + offset(block))->reserve(kBlockCapacity);
+  blocks_.emplace(blocks_.begin() + offset(block))->reserve(kBlockCapacityEntries);
   starts_.insert(starts_.begin() + offset(block), static_cast<std::uint32_t>(size_));
 }
 
@@ -85,10 +85,10 @@
 
 void OrderedIndex::split(std::size_t block) {
   insert_block(block + 1);
-  const auto half = blocks_[block].begin() + kBlockCapacity / 2;
+  const auto half = blocks_[block].begin() + kBlockCapacityEntries / 2;
   blocks_[block + 1].assign(half, blocks_[block].end());
   blocks_[block].erase(half, blocks_[block].end());
-  starts_[block + 1] = starts_[block] + kBlockCapacity / 2;
+  starts_[block + 1] = starts_[block] + kBlockCapacityEntries / 2;
 }
 
 void CircularRange::collect(std::size_t offset, std::size_t count, std::vector<std::uint32_t>& slots) const {
--- a/src/support/ordered_index.h
+++ b/src/support/ordered_index.h
@@ -10,21 +10,21 @@
 
 struct CircularRange;
 
-// An order-statistics list: entries in blocks, with the position at which each block starts. A search takes
-// O(log n); an insertion or removal moves the entries of one block and updates the starts of the blocks after
-// it, of which there are about n / 48. One sorted vector would move n entries for each change; a tree with
-// counts needs several times the memory.
+// An order-statistics list: entries are stored in blocks, with the position at which each block starts. A
+// search takes O(log n). An insertion or removal moves the entries of one block and updates the start
+// positions of the blocks after it; there are about n / 48 blocks. One sorted vector would move n entries for
+// each change, and a tree with counts would need several times the memory.
 class OrderedIndex {
  public:
   struct Entry {
-    std::uint32_t key = 0;  // sorted by this first; the caller breaks ties
+    std::uint32_t key = 0;  // the sort key; the caller determines the order of entries with equal keys
     std::uint32_t slot = 0;
   };
 
   std::size_t size() const { return size_; }
   Entry operator[](std::size_t position) const;
 
-  // The first position whose entry does not satisfy `is_before`, which has to partition the index.
+  // The first position whose entry does not satisfy `is_before`. All entries that satisfy it must come first.
   template <class Predicate>
   std::size_t partition_point(const Predicate& is_before) const {
     const auto block = std::partition_point(
@@ -37,7 +37,7 @@
 
   // All entries.
   CircularRange range() const;
-  // The entries with one key.
+  // The entries with the given key.
   CircularRange range_of(std::uint32_t key) const;
 
   // Inserts an entry before the one at `position`.
@@ -49,7 +49,7 @@
   // Adds an entry after all others.
   void append(Entry entry);
 
-  // Calls `visit` with the slots of `count` entries, from `position` on.
+  // Calls `visit` with the slot of each of `count` entries, starting at `position`.
   template <class Visitor>
   void for_each_slot(std::size_t position, std::size_t count, const Visitor& visit) const {
     if (count == 0) return;
@@ -72,8 +72,8 @@
   std::size_t size_ = 0;
 };
 
-// A part of a circle of entries: `size` entries from `start` on, where the circle consists of the
-// `circumference` entries from position `base` of an index. Valid until the index changes.
+// A range of entries that wraps around. The `circumference` entries of an index from position `base` form a
+// ring, and the range is the `size` entries of the ring from `start` on. Valid until the index changes.
 struct CircularRange {
   const OrderedIndex* index = nullptr;
   std::size_t base = 0;
@@ -81,7 +81,8 @@
   std::size_t start = 0;
   std::size_t size = 0;
 
-  // Appends to `slots` those of `count` entries of the range from `offset` on; wraps around at its end.
+  // Appends to `slots` the slots of `count` entries of the range from `offset` on, continuing at the
+  // beginning of the range after its end.
   void collect(std::size_t offset, std::size_t count, std::vector<std::uint32_t>& slots) const;
 };
 
--- a/src/support/random.cpp
+++ b/src/support/random.cpp
@@ -1,4 +1,4 @@
-// splitmix64 and FNV-1a.
+// Implementations of splitmix64 and FNV-1a.
 #include "support/random.h"
 
 namespace asterdrift::support {
--- a/src/support/random.h
+++ b/src/support/random.h
@@ -1,4 +1,4 @@
-// Deterministic random numbers and hashes, equal on all platforms.
+// Deterministic random numbers and hashes, which are equal on all platforms.
 #pragma once
 
 #include <cstddef>
@@ -13,11 +13,11 @@
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
-  // Uniform over all values.
+  // A uniform random number of all 64-bit values.
   std::uint64_t next();
-  // Uniform in [0, 1).
+  // A uniform random number in [0, 1).
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
-  // Uniform in 0 .. bound - 1.
+  // A uniform random integer from 0 to bound - 1.
   std::size_t below(std::size_t bound) {
     return static_cast<std::size_t>(unit() * static_cast<double>(bound));
   }
@@ -26,7 +26,7 @@
   std::uint64_t state_;
 };
 
-// FNV-1a, finished by one step of splitmix64.
+// The FNV-1a hash of a text, mixed by one step of splitmix64.
 std::uint64_t hash_text(std::string_view text);
 
 }  // namespace asterdrift::support
--- a/src/support/sliding_window.cpp
+++ b/src/support/sliding_window.cpp
@@ -1,4 +1,4 @@
-// Buckets of a sliding window, in a ring.
+// The buckets of a sliding window, in a ring buffer.
 #include "support/sliding_window.h"
 
 #include <cmath>
@@ -6,29 +6,29 @@
 
 namespace asterdrift::support {
 
-void SlidingWindow::add(double now, bool declined) {
-  const std::int64_t number = number_at(now);
+void SlidingWindow::add(Seconds now, bool rejected) {
+  const std::int64_t number = bucket_number(now);
   const std::int64_t count = std::ssize(buckets_);
   Bucket& bucket = buckets_[static_cast<std::size_t>(((number % count) + count) % count)];
   if (bucket.number != number) bucket = {number, 0, 0};
   bucket.total += 1;
-  if (declined) bucket.declined += 1;
+  if (rejected) bucket.rejected += 1;
 }
 
-SlidingWindow::Sums SlidingWindow::sums(double now) const {
-  const std::int64_t number = number_at(now);
-  Sums sums;
+SlidingWindow::Counts SlidingWindow::counts(Seconds now) const {
+  const std::int64_t number = bucket_number(now);
+  Counts counts;
   for (const Bucket& bucket : buckets_) {
     if (bucket.number <= number - std::ssize(buckets_)) continue;
-    sums.total += bucket.total;
-    sums.declined += bucket.declined;
-    if (bucket.number > number - short_buckets_) sums.short_total += bucket.total;
+    counts.total += bucket.total;
+    counts.rejected += bucket.rejected;
+    if (bucket.number > number - short_window_buckets_) counts.short_total += bucket.total;
   }
-  return sums;
+  return counts;
 }
 
-std::int64_t SlidingWindow::number_at(double now) const {
-  return static_cast<std::int64_t>(std::floor(now / bucket_s_));
+std::int64_t SlidingWindow::bucket_number(Seconds time) const {
+  return static_cast<std::int64_t>(std::floor(time / bucket_width_));
 }
 
 }  // namespace asterdrift::support
--- a/src/support/sliding_window.h
+++ b/src/support/sliding_window.h
@@ -1,41 +1,47 @@
-// Counts of recent events.
+// Counts of the events of a recent period.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <limits>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::support {
 
-// The events of a window of time, counted in buckets, and those of its most recent part, the short window.
+// Counts the events of a sliding window in buckets, and the events of its most recent part, the short window.
 class SlidingWindow {
  public:
-  struct Sums {
+  struct Counts {
     double total = 0;        // events in the window
-    double declined = 0;     // declined events in the window
+    double rejected = 0;     // rejected events in the window
     double short_total = 0;  // events in the short window
   };
 
-  // bucket_s: width of a bucket in seconds. buckets, short_buckets: number of buckets of the two windows.
-  SlidingWindow(double bucket_s, int buckets, int short_buckets)
-      : bucket_s_(bucket_s), short_buckets_(short_buckets), buckets_(static_cast<std::size_t>(buckets)) {}
+  // `buckets` and `short_window_buckets` are the numbers of buckets of the two windows.
+  SlidingWindow(Seconds bucket_width, int buckets, int short_window_buckets)
+      : bucket_width_(bucket_width),
+        short_window_buckets_(short_window_buckets),
+        buckets_(static_cast<std::size_t>(buckets)) {}
 
-  // An event has happened.
-  void add(double now, bool declined);
+  // Counts an event.
+  void add(Seconds now, bool rejected);
   // The counts of the windows that end now.
-  Sums sums(double now) const;
+  Counts counts(Seconds now) const;
 
  private:
   struct Bucket {
     std::int64_t number = std::numeric_limits<std::int64_t>::min() / 2;
     double total = 0;
-    double declined = 0;
+    double rejected = 0;
   };
 
-  std::int64_t number_at(double now) const;
+  // The number of the bucket that contains a time. Numbers increase with time and are never reused.
+  std::int64_t bucket_number(Seconds time) const;
 
-  double bucket_s_;
-  int short_buckets_;
+  Seconds bucket_width_;
+  int short_window_buckets_;
   std::vector<Bucket> buckets_;
 };
 
--- a/src/support/weighted_sample.h
+++ b/src/support/weighted_sample.h
@@ -1,4 +1,4 @@
-// Random selection in proportion to weights.
+// Random selection with probabilities in proportion to weights.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace asterdrift::support {
 
-// A set of candidates with weights.
+// A set of weighted candidates to draw from.
 template <class Item>
 class WeightedSample {
  public:
@@ -29,7 +29,7 @@
   bool empty() const { return candidates_.empty(); }
   std::size_t size() const { return candidates_.size(); }
 
-  // Draws one candidate. The set must not be empty.
+  // Draws one candidate, which stays in the set. The set must not be empty.
   const Candidate& draw(Random& random) const {
     double rest = random.unit() * total_weight_;
     for (std::size_t i = 0; i + 1 < candidates_.size(); ++i) {
