--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,5 @@
-// simulator-adapter: hosts balancer replicas on the simulator's wire, one JSON line in and one out.
+// simulator-adapter: hosts balancer replicas for the simulator. Each line of standard input is a JSON object
+// with a batch of events, and is answered by one line of JSON with the actions.
 #include <cstdint>
 #include <cstdio>
 #include <exception>
@@ -22,10 +23,10 @@
   return std::fflush(stdout) == 0;
 }
 
-// Handles the batches of standard input, and reports errors with their position.
+// Handles the batches of standard input, and reports errors with the line number and the turn.
 class BatchReader {
  public:
-  // Reads up to the end of the input, and returns the exit code.
+  // Handles all batches up to the end of the input, and returns the exit code.
   int run() {
     while (std::getline(std::cin, line_)) {
       if (line_.find_first_not_of(" \t\r") == std::string::npos) continue;
@@ -57,8 +58,8 @@
 
   ReplicaHost host_;
   std::string line_;
-  std::uint64_t line_number_ = 0;  // lines that are not blank
-  std::string turn_;               // of the current batch
+  std::uint64_t line_number_ = 0;  // of the current batch; blank lines do not count
+  std::string turn_;               // of the current batch; "unknown" until it is parsed
 };
 
 }  // namespace
--- a/adapter/replica_host.cpp
+++ b/adapter/replica_host.cpp
@@ -12,14 +12,15 @@
 using json::Json;
 
 const rapidjson::StringBuffer& ReplicaHost::handle_batch(const Json& batch) {
-  const double now = json::number(batch, "clock");
+  const Seconds now = json::number(batch, "clock");
   reply_.begin(json::unsigned_integer(batch, "turn"));
   for (const Json& node : json::array(batch, "nodes").GetArray()) handle_replica(now, node);
   return reply_.finish();
 }
 
-// A replica handles the items after one that has failed too. Its reply has the first error only.
-void ReplicaHost::handle_replica(double now, const Json& node) {
+// After an item that fails, the replica still handles the remaining items. The reply contains only the first
+// error.
+void ReplicaHost::handle_replica(Seconds now, const Json& node) {
   const int number = json::integer(node, "who");
   Replica& replica = replicas_[number];
   actions_.clear();
@@ -36,29 +37,29 @@
   if (!actions_.empty() || error_message) reply_.add_replica(number, actions_, error_message);
 }
 
-void ReplicaHost::handle_item(double now, const Json& item, Replica& replica) {
+void ReplicaHost::handle_item(Seconds now, const Json& item, Replica& replica) {
   const std::string_view kind = json::string(item, "kind");
   if (kind == "TABLE") {
-    tables_.read(item);
+    tables_.add(item);
   } else if (kind == "OPEN_INSTANCE") {
-    start(now, item, replica);
+    start_replica(now, item, replica);
   } else if (kind == "POWER_OFF") {
-    stop(replica);
+    stop_replica(replica);
   } else {
-    const std::optional<balancer::Event> event = read_event(kind, item, tables_);
+    const std::optional<balancer::Event> event = parse_event(kind, item, tables_);
     if (event && replica != nullptr) replica->handle(now, *event, actions_);
   }
 }
 
-void ReplicaHost::start(double now, const Json& item, Replica& replica) {
+void ReplicaHost::start_replica(Seconds now, const Json& item, Replica& replica) {
   replica.reset();
   const balancer::Settings settings = json::parse_settings(json::require(item, "config"));
   replica = std::make_unique<balancer::Balancer>(settings, json::unsigned_integer(item, "initSeed"));
-  actions_.clear();  // those of the previous process in this batch
+  actions_.clear();  // discards the actions of the previous process in this batch
   replica->handle(now, balancer::ReplicaStarted{}, actions_);
 }
 
-void ReplicaHost::stop(Replica& replica) {
+void ReplicaHost::stop_replica(Replica& replica) {
   replica.reset();
   actions_.clear();
 }
--- a/adapter/wire_writer.cpp
+++ b/adapter/wire_writer.cpp
@@ -1,4 +1,4 @@
-// Maps the balancer's actions to the wire's names.
+// Maps the balancer's actions to the names of the simulator's protocol.
 #include "adapter/wire_writer.h"
 
 #include <variant>
@@ -8,7 +8,7 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// Writes one step of a replica as a JSON object.
+// Writes one step of a replica, an action or an error, as a JSON object.
 class StepWriter {
  public:
   explicit StepWriter(Writer& writer) : writer_(writer) {}
@@ -63,7 +63,7 @@
     writer_.EndObject();
   }
 
-  // The message ends at its first null character.
+  // Writes the message up to its first null character.
   void error(const std::string& message) const {
     begin("PANIC");
     writer_.Key("noteText");
--- a/adapter/wire_writer.h
+++ b/adapter/wire_writer.h
@@ -1,4 +1,4 @@
-// Writes the simulator's wire: one reply line for each batch.
+// Writes the simulator's protocol: one line of reply for each batch.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,18 @@
 
 namespace asterdrift::adapter {
 
-// The reply to one batch at a time, in a buffer that is reused.
+// Writes the reply to one batch at a time, into a buffer that is reused.
 class ReplyWriter {
  public:
-  // Starts the reply to the batch with this number.
+  // Begins the reply to the batch with this number.
   void begin(std::uint64_t turn);
 
-  // Adds the actions of one replica, and the message of an exception of its balancer.
+  // Adds the actions of one replica and, if its balancer has thrown an exception, the message of the
+  // exception.
   void add_replica(int replica, const std::vector<balancer::Action>& actions,
                    const std::optional<std::string>& error);
 
-  // Completes the reply. It is valid until the next begin().
+  // Completes the reply, which is valid until the next call of begin().
   const rapidjson::StringBuffer& finish();
 
  private:
--- a/json/settings_parser.h
+++ b/json/settings_parser.h
@@ -1,5 +1,5 @@
-// Reads the balancer's settings from the operators' JSON form. The only place that knows the names of its
-// fields.
+// Parses the balancer's settings from the operators' JSON format. Only this module knows the field names of
+// the format.
 #pragma once
 
 #include "asterdrift/balancer/settings.h"
@@ -7,9 +7,9 @@
 
 namespace asterdrift::json {
 
-// Throws FormatError for a field that is missing or has another type, and std::invalid_argument for an
-// unknown name of an idempotency or deduplication scope. Does not check the range of numbers: the balancer
-// does.
+// Throws FormatError if a field is missing or has another type than required, and std::invalid_argument if
+// the name of an idempotency or of a deduplication scope is unknown. Does not check the range of numbers,
+// which the balancer checks.
 balancer::Settings parse_settings(const Json& object);
 
 }  // namespace asterdrift::json
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -1,6 +1,8 @@
-// The range of each setting.
+// Checks the range of each setting.
 #include "balancer/settings_validation.h"
 
+#include <array>
+#include <cstdio>
 #include <initializer_list>
 #include <stdexcept>
 #include <string>
@@ -16,22 +18,34 @@
   double value;
 };
 
-void require(bool condition, const std::string& message) {
-  if (!condition) throw std::invalid_argument("settings: " + message);
+std::string to_text(double number) {
+  std::array<char, 32> text{};
+  std::snprintf(text.data(), text.size(), "%.10g", number);
+  return text.data();
 }
 
+void require(bool condition, const Field& field, const std::string& expected) {
+  if (condition) return;
+  throw std::invalid_argument(std::string("settings: ") + field.name + " is " + to_text(field.value) +
+                              "; expected " + expected);
+}
+
+void require_positive(const Field& field) { require(field.value > 0, field, "a number above 0"); }
+
 void require_not_negative(std::initializer_list<Field> fields) {
   for (const Field& field : fields) {
-    require(field.value >= 0, std::string(field.name) + " must not be negative");
+    require(field.value >= 0, field, "a number from 0");
   }
 }
 
 void validate(const RequestClass& request_class) {
   require(request_class.idempotency >= Idempotency::kIdempotent &&
               request_class.idempotency <= Idempotency::kNotIdempotent,
-          "classes[].idempotency is unknown");
+          {"classes[].idempotency", static_cast<double>(request_class.idempotency)},
+          "a value of enum Idempotency");
   require(request_class.dedup_scope >= DedupScope::kAll && request_class.dedup_scope <= DedupScope::kCell,
-          "classes[].dedup_scope is unknown");
+          {"classes[].dedup_scope", static_cast<double>(request_class.dedup_scope)},
+          "a value of enum DedupScope");
   require_not_negative({{"classes[].latency_objective", request_class.latency_objective},
                         {"classes[].latency_objective_per_work", request_class.latency_objective_per_work},
                         {"classes[].timeout", request_class.timeout},
@@ -41,13 +55,14 @@
 void validate(const Tenant& tenant) { require_not_negative({{"tenants[].quota", tenant.quota.value_or(0)}}); }
 
 void validate(const Settings& settings) {
-  require(settings.replica_count > 0, "replica_count must be above 0");
+  require_positive({"replica_count", static_cast<double>(settings.replica_count)});
   require(settings.replica_index >= 0 && settings.replica_index < settings.replica_count,
-          "replica_index must be from 0 to replica_count - 1");
-  require(settings.max_attempts > 0, "max_attempts must be above 0");
+          {"replica_index", static_cast<double>(settings.replica_index)},
+          "a number from 0 to replica_count - 1, that is, to " + std::to_string(settings.replica_count - 1));
+  require_positive({"max_attempts", static_cast<double>(settings.max_attempts)});
   require(settings.slow_start_capacity >= 0 && settings.slow_start_capacity <= 1,
-          "slow_start_capacity must be from 0 to 1");
-  require(settings.overload_multiple > 0, "overload_multiple must be above 0");
+          {"slow_start_capacity", settings.slow_start_capacity}, "a number from 0 to 1");
+  require_positive({"overload_multiple", settings.overload_multiple});
   require_not_negative({{"tier", static_cast<double>(settings.tier)},
                         {"clock_granularity", settings.clock_granularity},
                         {"max_retry_after", settings.max_retry_after},
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -38,7 +38,7 @@
   // large subset, in proportion from the replica's own zone and from other zones.
   void sample(support::Random& random, std::vector<std::uint32_t>& slots) const;
   // Sets `slots` to the slots of a short range, or to the next slots of a long range: size /
-  // kMaxExaminedEndpoints samples cover it.
+  // kMaxExaminedEndpoints calls cover a long range.
   void sample_next(const support::CircularRange& range, std::vector<std::uint32_t>& slots);
 
  private:
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -1,4 +1,5 @@
-// The simulator adapter as a program: a conversation, invalid lines, and one process compared with three.
+// Runs the simulator adapter as a program: an exchange of batches and replies, invalid lines, and a
+// comparison of one process that hosts three instances with three processes.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -13,8 +14,8 @@
 namespace {
 
 struct AdapterResult {
-  std::vector<std::string> lines;  // of its standard output
-  std::string errors;
+  std::vector<std::string> lines;  // of the adapter's standard output
+  std::string errors;              // text on the adapter's standard error
   int exit_code = 0;
 };
 
@@ -32,7 +33,7 @@
   return lines;
 }
 
-// Runs the adapter with these lines as its standard input.
+// Runs the adapter with the given lines as its standard input.
 AdapterResult run_adapter(const std::vector<std::string>& lines) {
   const std::string path = testing::TempDir() + "/simulator_adapter_" + std::to_string(getpid());
   {
@@ -49,7 +50,7 @@
   return result;
 }
 
-std::string configuration() {
+std::string make_configuration() {
   return R"({"peersTotal":1,"position":0,"stage":0,"zone":0,"granularity":0.005,"registryMode":"subscribe",)"
          R"("bounds":{"cancel":true,"maxAttempts":3,"maxRetryAfter":2.0,)"
          R"("retryAfter":true,"secondCopies":false},)"
@@ -57,15 +58,16 @@
          R"("rules":{"askWithin":10.0,"startCapacity":0.2,"rampTime":9.0}})";
 }
 
-// A line with the events of some instances, each of which is an element of `nodes`.
-std::string batch(int turn, double clock, const std::string& nodes) {
+// A line with the events of some instances. `nodes` contains one JSON object for each instance.
+std::string make_batch(int turn, double clock, const std::string& nodes) {
   return R"({"clock":)" + std::to_string(clock) + R"(,"turn":)" + std::to_string(turn) + R"(,"nodes":[)" +
          nodes + "]}";
 }
 
-// The events that open an instance and notify it of two servers, and further ones.
-std::string open_instance(int instance, const std::string& further_events = "",
-                          const std::string& config = configuration()) {
+// The events of one instance: events that open the instance and notify it of two servers, then further
+// events.
+std::string make_opening_events(int instance, const std::string& further_events = "",
+                                const std::string& config = make_configuration()) {
   return R"({"who":)" + std::to_string(instance) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
          std::to_string(instance + 5) + R"(,"config":)" + config + R"(},)" +
          R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"10.0.0.1:80","mode":"Ready"},)"
@@ -78,16 +80,18 @@
   return line.find(part) != std::string::npos;
 }
 
-TEST(SimulatorAdapter, AnswersEachBatch) {
+TEST(SimulatorAdapter, RepliesToEachBatch) {
   const AdapterResult result = run_adapter({
-      batch(1, 1, ""),
-      batch(2, 1.5, open_instance(4)),
-      batch(3, 2, R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
-      batch(4, 2.1,
-            R"({"who":4,"news":[{"kind":"DONE","txn":"a","server":"10.0.0.1:80",)"
-            R"("outcome":"app_error","lag":0.1}]})"),
-      batch(5, 2.2,
-            R"({"who":4,"news":[{"kind":"GONE","txn":"a"},{"kind":"FIRED","keyBack":77},{"kind":"NEW"}]})"),
+      make_batch(1, 1, ""),
+      make_batch(2, 1.5, make_opening_events(4)),
+      make_batch(3, 2,
+                 R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
+      make_batch(4, 2.1,
+                 R"({"who":4,"news":[{"kind":"DONE","txn":"a","server":"10.0.0.1:80",)"
+                 R"("outcome":"app_error","lag":0.1}]})"),
+      make_batch(
+          5, 2.2,
+          R"({"who":4,"news":[{"kind":"GONE","txn":"a"},{"kind":"FIRED","keyBack":77},{"kind":"NEW"}]})"),
   });
   EXPECT_EQ(result.exit_code, 0) << result.errors;
   ASSERT_EQ(result.lines.size(), 5U);
@@ -98,22 +102,23 @@
   EXPECT_EQ(result.lines[4], R"({"turn":5,"nodes":[]})");
 }
 
-TEST(SimulatorAdapter, InstanceRestartsWithinBatch) {
+TEST(SimulatorAdapter, RestartWithinBatchDiscardsEarlierEvents) {
   const std::string request_event = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
-  std::string node = open_instance(1, request_event);
+  std::string node = make_opening_events(1, request_event);
   node.insert(node.find("{\"kind\":\"OPEN"),
               R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
-  const AdapterResult result = run_adapter({batch(1, 1, open_instance(1)), batch(2, 2, node)});
+  const AdapterResult result =
+      run_adapter({make_batch(1, 1, make_opening_events(1)), make_batch(2, 2, node)});
   EXPECT_EQ(result.exit_code, 0) << result.errors;
   ASSERT_EQ(result.lines.size(), 2U);
-  EXPECT_FALSE(contains(result.lines[1], "\"old\"")) << "events before the stop are void";
+  EXPECT_FALSE(contains(result.lines[1], "\"old\"")) << "events before the stop have no effect";
   EXPECT_TRUE(contains(result.lines[1], R"("txn":"a")"));
 }
 
-TEST(SimulatorAdapter, ReusedListNumberMeansLatestList) {
+TEST(SimulatorAdapter, UpdateRefersToLatestListWithItsNumber) {
   const AdapterResult result = run_adapter(
-      {batch(1, 1, open_instance(1)),
-       batch(
+      {make_batch(1, 1, make_opening_events(1)),
+       make_batch(
            2, 2,
            R"({"who":1,"news":[{"kind":"TABLE","sheet":3,"nodesList":[{"server":"b:1","mode":"Ready"}]},)"
            R"({"kind":"DIRECTORY_UPDATE","sheet":3,"form":"F"},)"
@@ -131,9 +136,9 @@
   EXPECT_TRUE(contains(result.errors, reason)) << result.errors;
 }
 
-// In turn 7, after the events that open an instance.
+// Expects an error for an event of turn 7 that follows the events that open an instance.
 void expect_event_reported(const std::string& event, const std::string& reason) {
-  expect_reported(batch(7, 1, open_instance(1, "," + event)), "7", reason);
+  expect_reported(make_batch(7, 1, make_opening_events(1, "," + event)), "7", reason);
 }
 
 TEST(SimulatorAdapter, InvalidLineIsReported) {
@@ -141,9 +146,9 @@
   expect_reported("[1]", "unknown", "not an object");
   expect_reported(R"({"turn":7,"nodes":[]})", "7", "'clock'");
   expect_reported(R"({"turn":7,"clock":1})", "7", "'nodes'");
-  expect_reported(batch(7, 1, R"({"news":[]})"), "7", "'who'");
-  expect_reported(batch(7, 1, R"({"who":1,"news":[{"txn":"a"}]})"), "7", "'kind'");
-  expect_reported(batch(7, 1, R"({"who":1,"news":[{"kind":"OPEN_INSTANCE","initSeed":1}]})"), "7",
+  expect_reported(make_batch(7, 1, R"({"news":[]})"), "7", "'who'");
+  expect_reported(make_batch(7, 1, R"({"who":1,"news":[{"txn":"a"}]})"), "7", "'kind'");
+  expect_reported(make_batch(7, 1, R"({"who":1,"news":[{"kind":"OPEN_INSTANCE","initSeed":1}]})"), "7",
                   "'config'");
   expect_event_reported(R"({"kind":"QUERY","timeLeft":1})", "'txn'");
   expect_event_reported(R"({"kind":"QUERY","txn":"a"})", "'timeLeft'");
@@ -152,44 +157,45 @@
   expect_event_reported(R"({"kind":"DIRECTORY_UPDATE","form":"F","sheet":9})", "'sheet'");
 }
 
-// Replaces a part of a valid configuration.
+// Expects an error after a part of a valid configuration was replaced.
 void expect_panic(const std::string& part, const std::string& replacement, const std::string& reason) {
-  std::string config = configuration();
+  std::string config = make_configuration();
   config.replace(config.find(part), part.size(), replacement);
-  const AdapterResult result = run_adapter({batch(1, 1, open_instance(2, "", config))});
+  const AdapterResult result = run_adapter({make_batch(1, 1, make_opening_events(2, "", config))});
   EXPECT_EQ(result.exit_code, 0);
   ASSERT_EQ(result.lines.size(), 1U);
   EXPECT_TRUE(contains(result.lines[0], R"("kind":"PANIC")")) << result.lines[0];
   EXPECT_TRUE(contains(result.lines[0], reason)) << result.lines[0];
 }
 
-TEST(SimulatorAdapter, PanicsOnInvalidSettings) {
+TEST(SimulatorAdapter, InvalidSettingsAreReportedInReply) {
   expect_panic(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
   expect_panic(R"("position":0)", R"("position":1)", "replica_index");
   expect_panic(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
   expect_panic(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
-// Outcomes and report values of later versions of the protocol, lists without entries, requests without time
-// left, many restarts.
+// Accepts outcomes and report values of later versions of the protocol, lists without entries, requests
+// without time left, and many restarts.
 TEST(SimulatorAdapter, AcceptsUnusualButValidLines) {
-  const std::string restart = open_instance(4).substr(open_instance(4).find("{\"kind\":\"OPEN"));
+  const std::string restart = make_opening_events(4).substr(make_opening_events(4).find("{\"kind\":\"OPEN"));
   std::string restarts;
   for (int i = 0; i < 20; ++i) restarts += restart.substr(0, restart.size() - 2) + ",";
   const AdapterResult result = run_adapter({
-      batch(1, 1, R"({"who":4,"news":[)" + restarts + R"({"kind":"POWER_OFF"}]})"),
-      batch(2, 2, open_instance(4)),
-      batch(3, 3,
-            R"({"who":4,"news":[{"kind":"QUERY","txn":"a","timeLeft":2,"profile":99,"account":77},)"
-            R"({"kind":"QUERY","txn":"b","timeLeft":0},{"kind":"QUERY","txn":"c","timeLeft":-1}]})"),
-      batch(
+      make_batch(1, 1, R"({"who":4,"news":[)" + restarts + R"({"kind":"POWER_OFF"}]})"),
+      make_batch(2, 2, make_opening_events(4)),
+      make_batch(3, 3,
+                 R"({"who":4,"news":[{"kind":"QUERY","txn":"a","timeLeft":2,"profile":99,"account":77},)"
+                 R"({"kind":"QUERY","txn":"b","timeLeft":0},{"kind":"QUERY","txn":"c","timeLeft":-1}]})"),
+      make_batch(
           4, 4,
           R"({"who":4,"news":[{"kind":"DONE","txn":"a","outcome":"melted","serverStats":[1,null,"x"]},)"
           R"({"kind":"DONE","txn":"a","outcome":"delivered"},{"kind":"DONE","txn":"z","outcome":"expired"},)"
           R"({"kind":"STATUS_BACK","server":"x","outcome":"delivered"},{"kind":"MEMO","src":1,"body":""}]})"),
-      batch(5, 5,
-            R"({"who":4,"news":[{"kind":"TABLE","sheet":1,"nodesList":[]},)"
-            R"({"kind":"DIRECTORY_UPDATE","sheet":1,"form":"F"},{"kind":"QUERY","txn":"d","timeLeft":2}]})"),
+      make_batch(
+          5, 5,
+          R"({"who":4,"news":[{"kind":"TABLE","sheet":1,"nodesList":[]},)"
+          R"({"kind":"DIRECTORY_UPDATE","sheet":1,"form":"F"},{"kind":"QUERY","txn":"d","timeLeft":2}]})"),
   });
   EXPECT_EQ(result.exit_code, 0) << result.errors;
   ASSERT_EQ(result.lines.size(), 5U);
@@ -202,12 +208,14 @@
   EXPECT_TRUE(contains(result.lines[4], R"({"kind":"SAY_NO","txn":"d")"));
 }
 
-// The batches of these instances; each sends a request in each turn and ends that of two turns before.
-std::vector<std::string> batches_of(const std::vector<int>& instances) {
+// Batches for the given instances. Each instance receives a request in each turn, and the result of the
+// request of two turns before.
+std::vector<std::string> make_batches(const std::vector<int>& instances) {
   std::vector<std::string> lines;
   std::string nodes;
-  for (const int instance : instances) nodes.append(nodes.empty() ? "" : ",").append(open_instance(instance));
-  lines.push_back(batch(1, 1, nodes));
+  for (const int instance : instances)
+    nodes.append(nodes.empty() ? "" : ",").append(make_opening_events(instance));
+  lines.push_back(make_batch(1, 1, nodes));
   for (int turn = 2; turn < 60; ++turn) {
     nodes.clear();
     for (const int instance : instances) {
@@ -221,29 +229,29 @@
       nodes.append(R"(","outcome":")").append(turn % 3 == 0 ? "shed" : "app_error");
       nodes.append(R"(","lag":0.2}]})");
     }
-    lines.push_back(batch(turn, 1 + turn * 0.1, nodes));
+    lines.push_back(make_batch(turn, 1 + turn * 0.1, nodes));
   }
   return lines;
 }
 
-// What stands between the brackets of "nodes" in a line of output.
-std::string nodes_of(const std::string& line) {
+// The text between the brackets of "nodes" in a line of output.
+std::string nodes_text(const std::string& line) {
   const std::size_t begin = line.find('[') + 1;
   return line.substr(begin, line.rfind(']') - begin);
 }
 
 TEST(SimulatorAdapter, InstancesInOneProcessAreIndependent) {
-  const AdapterResult together = run_adapter(batches_of({0, 1, 2}));
+  const AdapterResult together = run_adapter(make_batches({0, 1, 2}));
   ASSERT_EQ(together.exit_code, 0) << together.errors;
   std::vector<AdapterResult> separate;
-  for (const int instance : {0, 1, 2}) separate.push_back(run_adapter(batches_of({instance})));
+  for (const int instance : {0, 1, 2}) separate.push_back(run_adapter(make_batches({instance})));
   for (std::size_t i = 0; i < together.lines.size(); ++i) {
     std::string joined;
     for (const AdapterResult& result : separate) {
-      const std::string nodes = nodes_of(result.lines.at(i));
+      const std::string nodes = nodes_text(result.lines.at(i));
       if (!nodes.empty()) joined += (joined.empty() ? "" : ",") + nodes;
     }
-    EXPECT_EQ(nodes_of(together.lines[i]), joined);
+    EXPECT_EQ(nodes_text(together.lines[i]), joined);
   }
 }
 
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,4 @@
-// Minimal use of the installed library: one endpoint, one request, one attempt.
+// A minimal program that uses the installed library: one endpoint, one request, one attempt.
 #include <iostream>
 #include <variant>
 #include <vector>
@@ -22,10 +22,10 @@
   balancer.handle(0.1, asterdrift::balancer::Request{.id = "r1", .time_left = 2}, actions);
   for (const asterdrift::balancer::Action& action : actions) {
     if (const auto* attempt = std::get_if<asterdrift::balancer::SendAttempt>(&action)) {
-      std::cout << attempt->id << " -> " << attempt->endpoint << ", time-out " << attempt->timeout << " s\n";
+      std::cout << attempt->id << " -> " << attempt->endpoint << ", timeout " << attempt->timeout << " s\n";
       return 0;
     }
   }
-  std::cerr << "no attempt\n";
+  std::cerr << "expected a SendAttempt action for request r1, but there is none\n";
   return 1;
 }
