--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -23,7 +23,7 @@
 constexpr double kInitialLimitFactor = 1.2;
 // With little traffic, requests arrive in random bursts.
 constexpr double kInitialLowTrafficLimitFactor = 4;
-constexpr Seconds kReviewPeriod = 1;  // the time until a change of the limit shows in outcomes
+constexpr Seconds kReviewPeriod = 1;  // the delay after which outcomes show a change of the limit
 constexpr double kMinReviewRequests = 5;
 // The limit decreases if more than this fraction of the ended requests was overloaded.
 constexpr double kOverloadedFraction = 0.1;
@@ -33,10 +33,10 @@
 // One review may increase the limit by this fraction, for traffic of full priority weight.
 constexpr double kIncreaseFraction = 0.1;
 
-constexpr double kMinRequestsPerSecond = 2;  // lower bound of the limit, over all replicas
+constexpr double kMinLimitPerSecond = 2;  // lower bound of the limit in requests, over all replicas
 // The lower bound of the limit is a multiple of this replica's share of the quota, since replicas do not get
-// equal shares of the traffic. It is higher past tier 0, where a rejection wastes the work of the tiers
-// above.
+// equal shares of the traffic; without a quota, it is a multiple of the rate of responses in time. The factor
+// is higher past tier 0, where a rejection wastes the work of the tiers above.
 constexpr double kMinLimitFactor = 1.2;
 constexpr double kInnerTierMinLimitFactor = 6;
 constexpr Seconds kInTimeRateTimeConstant = 5;
@@ -60,15 +60,14 @@
     : traffic_(traffic),
       window_length_(kBucketWidth * window_buckets(traffic)),
       window_(kBucketWidth, window_buckets(traffic), kLastSecondBuckets),
-      fixed_min_limit_(kMinRequestsPerSecond),
+      fixed_min_limit_(kMinLimitPerSecond),
       increase_fraction_(kIncreaseFraction),
       in_time_rate_(kInTimeRateTimeConstant) {
   const double min_limit_factor = settings.tier > 0 ? kInnerTierMinLimitFactor : kMinLimitFactor;
   in_time_limit_factor_ = tenant.quota ? 0 : min_limit_factor;
   if (!tenant.quota) return;
   quota_share_ = *tenant.quota / settings.replica_count;
-  fixed_min_limit_ =
-      std::max(kMinRequestsPerSecond / settings.replica_count, quota_share_ * min_limit_factor);
+  fixed_min_limit_ = std::max(kMinLimitPerSecond / settings.replica_count, quota_share_ * min_limit_factor);
   // Reviews of few requests have random results, and would decrease the limit below the tenant's share.
   const bool has_little_traffic = window_buckets(traffic) > kMinWindowBuckets;
   limit_ = std::max(fixed_min_limit_, quota_share_ * (has_little_traffic ? kInitialLowTrafficLimitFactor
--- a/src/balancer/endpoint_record.h
+++ b/src/balancer/endpoint_record.h
@@ -16,7 +16,8 @@
 constexpr Seconds kLatencyTimeConstant = 8;
 // With more samples, a replica with much traffic would detect an outlier later.
 constexpr double kMaxLatencySamples = 4;
-// The decayed sum of the latencies, as fractions of the objective, from which an endpoint is tracked.
+// Below this decayed sum of latencies, as fractions of the objective, an endpoint without requests in flight
+// is no longer tracked.
 constexpr double kMinTrackedLatency = 0.01;
 
 // Limits the requests to an endpoint that is warming up.
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -33,8 +33,8 @@
   support::SampledEstimate objective;  // latency objective of the incoming requests, in seconds
   support::SampledEstimate latency;    // latency of the tier, as a fraction of the objective
   support::AsymmetricBaseline
-      idle_latency_fraction;  // latency of the tier without queueing, as such a fraction
-  support::DecayingRate admission_rate;
+      idle_latency_fraction;             // latency of the tier without queueing, as such a fraction
+  support::DecayingRate admission_rate;  // of admitted requests
   support::DecayingRate response_rate;
   std::uint64_t response_count = 0;
   support::DecayingLevel in_flight;
