--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -48,7 +48,7 @@
 void AdminConnection::close_overdue() {
   error_code ignored;
   if (state_ == State::kReading && has_bytes_)
-    socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
+    socket_.write_some(asio::buffer(http::kRequestTimeoutResponse), ignored);
   close();
 }
 
@@ -73,7 +73,7 @@
   try {
     read_available();
   } catch (const std::exception& error) {
-    telemetry::log_line("admin connection failed: client " + net::peer_text(socket_) + ": " + error.what());
+    telemetry::log_line("admin connection failed: client " + net::peer_address(socket_) + ": " + error.what());
     close();
   }
 }
--- a/node/config/endpoint_list.cpp
+++ b/node/config/endpoint_list.cpp
@@ -57,7 +57,7 @@
   if (json::find(entry, "site") != nullptr) endpoint.zone = zone_index(json::string(entry, "site"), zones);
   endpoint.cell = json::integer_or(entry, "block", 0);
   endpoint.weight = json::number_or(entry, "share", 1);
-  endpoint.started_at = timing::steady_time_of_unix_ms(json::number_or(entry, "born_ms", 0));
+  endpoint.started_at = timing::to_steady_time(json::number_or(entry, "born_ms", 0));
   return out;
 }
 
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -73,7 +73,7 @@
 }
 
 void DiscoveryClient::schedule(double wait, std::function<void()> call) {
-  retry_timer_.expires_after(timing::duration_of(wait));
+  retry_timer_.expires_after(timing::to_duration(wait));
   retry_timer_.async_wait([call = std::move(call)](const error_code& error) {
     if (!error) call();
   });
--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -79,7 +79,7 @@
 }
 
 void EndpointWatch::set_deadline(double time) {
-  stream_.expires_after(timing::duration_of(time - timing::now()));
+  stream_.expires_after(timing::to_duration(time - timing::now()));
 }
 
 // A line or list has arrived, or many bytes of a long list: the silence timeout starts again. A few bytes
--- a/node/dispatch/balancer_host.cpp
+++ b/node/dispatch/balancer_host.cpp
@@ -89,7 +89,7 @@
 }
 
 void BalancerHost::run(const balancer::SetTimer& action) {
-  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(action.at));
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, timing::to_time_point(action.at));
   timer->async_wait([this, timer, token = action.token](const error_code& error) {
     if (!error) post(balancer::TimerFired{token});
   });
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -58,7 +58,7 @@
   if (!config_.known_endpoints) return;
   apply_endpoints(*config_.known_endpoints);
   const auto timer =
-      std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(now() + kFirstListTimeout));
+      std::make_shared<boost::asio::steady_timer>(io_, timing::to_time_point(now() + kFirstListTimeout));
   timer->async_wait([this, timer](const error_code&) { list_is_current_ = true; });
 }
 
@@ -170,7 +170,7 @@
 }
 
 void RequestDispatcher::set_deadline(InFlightRequest& request) {
-  request.deadline.expires_at(timing::time_point_of(deadline_of(request.request).final_response_at()));
+  request.deadline.expires_at(timing::to_time_point(deadline_of(request.request).final_response_at()));
   request.deadline.async_wait([this, id = request.id](const error_code& error) {
     if (!error) expire(id);
   });
--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -10,7 +10,7 @@
 #include "node/http/response.h"
 #include "node/net/address.h"
 #include "node/net/socket_probe.h"
-#include "node/net/timed_read.h"
+#include "node/net/timestamped_read.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
 
@@ -85,7 +85,7 @@
 bool Connection::close_if_slow(double limit) {
   if (now() < slow_at(limit)) return false;
   error_code ignored;
-  if (!is_in(State::kFresh)) socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
+  if (!is_in(State::kFresh)) socket_.write_some(asio::buffer(http::kRequestTimeoutResponse), ignored);
   close();
   return true;
 }
@@ -104,7 +104,7 @@
   try {
     step();
   } catch (const std::exception& error) {
-    telemetry::log_line("downstream connection failed: client " + net::peer_text(socket_) + ": " +
+    telemetry::log_line("downstream connection failed: client " + net::peer_address(socket_) + ": " +
                         error.what());
     close();
   }
@@ -127,7 +127,7 @@
 
 void Connection::read() {
   error_code error;
-  const net::TimedRead received = net::read_some(socket_, asio::buffer(server_.read_buffer), error);
+  const net::TimestampedRead received = net::read_some(socket_, asio::buffer(server_.read_buffer), error);
   if (error == asio::error::would_block) return wait_readable();
   if (error) return close();
   if (is_in(State::kClosing)) {
--- a/node/downstream/response_writer.cpp
+++ b/node/downstream/response_writer.cpp
@@ -62,7 +62,7 @@
   has_body_ = false;
   if (!stream_) return Next::kComplete;
   if (!stream_->is_empty()) {
-    piece_ = is_chunked_ ? http::chunk_of(stream_->read()) : stream_->read();
+    piece_ = is_chunked_ ? http::encode_chunk(stream_->read()) : stream_->read();
     return Next::kPiece;
   }
   if (!stream_->is_finished()) return Next::kWait;
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -11,7 +11,7 @@
 #include "node/downstream/connection.h"
 #include "node/net/connection_steering.h"
 #include "node/net/socket_probe.h"
-#include "node/net/timed_read.h"
+#include "node/net/timestamped_read.h"
 #include "node/telemetry/log.h"
 #include "node/timing/clock.h"
 
@@ -77,7 +77,7 @@
     error_code refused;  // then the address is this process's alone, as it would be without the option
     acceptor_.set_option(reuse_port(true), refused);
   }
-  net::enable_arrival_times(acceptor_.native_handle());  // the accepted connections inherit it
+  net::enable_arrival_timestamps(acceptor_.native_handle());  // the accepted connections inherit it
   acceptor_.bind(address);
   acceptor_.non_blocking(true);
 }
@@ -189,7 +189,7 @@
 
 void Server::enforce_limit_at(double time) {
   if (std::isinf(time)) return;
-  capacity_timer_.expires_at(timing::time_point_of(time));
+  capacity_timer_.expires_at(timing::to_time_point(time));
   capacity_timer_.async_wait([this](const error_code& error) {
     if (error) return;
     enforce_limit();
@@ -218,7 +218,7 @@
   });
 }
 
-void Server::close_idle() {
+void Server::close_idle_connections() {
   state_.closes_after_responses = true;
   for (const ConnectionList* list : {&state_.lists.fresh, &state_.lists.idle}) {
     const ConnectionList all = *list;
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -43,7 +43,7 @@
   // Accepts the connections in the listen backlog, and none after that.
   void stop_accepting();
   // Idle connections are closed too.
-  void close_idle();
+  void close_idle_connections();
   // Incomplete requests are rejected.
   void reject_partial_requests();
 
@@ -51,7 +51,7 @@
   // Connections whose response is awaited or being written.
   std::size_t busy_connections() const { return state_.busy_connections; }
   // Requests without a complete response.
-  std::size_t pending() const { return state_.pending_requests; }
+  std::size_t pending_requests() const { return state_.pending_requests; }
   // Whether this process can serve, as /healthz and /ready report.
   bool is_ready() const { return state_.is_ready(); }
 
--- a/node/http/body.cpp
+++ b/node/http/body.cpp
@@ -5,7 +5,7 @@
 
 namespace asterdrift::node::http {
 
-std::string chunk_of(const std::string& bytes) {
+std::string encode_chunk(const std::string& bytes) {
   std::array<char, 24> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
   return size.data() + bytes + "\r\n";
--- a/node/http/body.h
+++ b/node/http/body.h
@@ -11,12 +11,13 @@
 
 namespace asterdrift::node::http {
 
-// One chunk as HTTP/1.1 frames it, and the end of a chunked body.
-std::string chunk_of(const std::string& bytes);
+// Frames bytes as one chunk of a chunked body.
+std::string encode_chunk(const std::string& bytes);
+// Ends a chunked body.
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// A body whose bytes the caller removes from the parser as they arrive. Beast's string body would allocate
-// the complete Content-Length.
+// A body whose bytes the caller removes from the parser as they arrive. Beast's string_body would allocate
+// memory for the complete Content-Length at once.
 struct IncrementalBody {
   using value_type = std::string;
 
--- a/node/http/response.h
+++ b/node/http/response.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 responses that the node writes itself.
+// Parts of the HTTP/1.1 responses that the node writes.
 #pragma once
 
 #include <string>
@@ -6,11 +6,11 @@
 
 namespace asterdrift::node::http {
 
-// "HTTP/1.1 STATUS REASON" with its end of line.
+// "HTTP/1.1 STATUS REASON", including the CRLF at its end.
 std::string status_line(unsigned status);
 
-// To a peer whose request is incomplete at the end of its time.
-constexpr std::string_view kTimeoutResponse =
+// Sent to a client whose request is still incomplete when its read timeout expires.
+constexpr std::string_view kRequestTimeoutResponse =
     "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 }  // namespace asterdrift::node::http
--- a/node/http/status.h
+++ b/node/http/status.h
@@ -1,4 +1,4 @@
-// The HTTP statuses that the node sends or looks for.
+// The HTTP status codes that the node sends, or distinguishes in responses.
 #pragma once
 
 namespace asterdrift::node::http {
--- a/node/memory/body_stream.cpp
+++ b/node/memory/body_stream.cpp
@@ -6,8 +6,9 @@
 namespace asterdrift::node::memory {
 namespace {
 
-constexpr std::size_t kCapacityBytes = 64UL * 1024;     // bytes
-constexpr std::size_t kMinCapacityBytes = 16UL * 1024;  // where the budget is exhausted
+constexpr std::size_t kCapacityBytes = 64UL * 1024;
+// Used without a reservation if the budget is exhausted.
+constexpr std::size_t kMinCapacityBytes = 16UL * 1024;
 
 }  // namespace
 
@@ -24,7 +25,7 @@
 
 void BodyStream::finish(bool complete) {
   if (is_finished()) return;
-  end_ = complete ? End::kComplete : End::kTruncated;
+  state_ = complete ? BodyState::kComplete : BodyState::kTruncated;
   writable_ = nullptr;
   notify(&BodyStream::readable_, &BodyStream::readable_pending_);
 }
--- a/node/memory/body_stream.h
+++ b/node/memory/body_stream.h
@@ -1,4 +1,4 @@
-// Forwards a body from one connection to another, with a bounded buffer.
+// Streams a body from one connection to another through a bounded buffer.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,39 +13,39 @@
 namespace asterdrift::node::memory {
 
 // Bodies up to this size are buffered, so that a request can be retried; larger ones are streamed.
-constexpr std::size_t kMaxBufferedBodyBytes = 64UL * 1024;  // bytes
+constexpr std::size_t kMaxBufferedBodyBytes = 64UL * 1024;
 // Larger bodies are rejected.
-constexpr std::size_t kMaxBodyBytes = 40UL * 1024 * 1024;  // bytes
+constexpr std::size_t kMaxBodyBytes = 40UL * 1024 * 1024;
 
-// A bounded buffer between a writer and a reader. Each is notified of the other's progress, always from the
-// event loop.
+// A bounded buffer between a writer and a reader. Each side is notified of the other's progress, always from
+// the event loop and never from within a call of this class.
 class BodyStream : public std::enable_shared_from_this<BodyStream> {
  public:
   using Callback = std::function<void()>;
 
-  // Where the budget is exhausted, the buffer is smaller.
+  // If the budget is exhausted, the buffer has a smaller capacity.
   BodyStream(boost::asio::io_context& io, MemoryBudget& budget);
 
-  // The writer's side.
+  // For the writer.
   bool is_full() const { return bytes_.size() >= capacity_; }
   bool is_abandoned() const { return abandoned_; }
   void write(std::string_view bytes);
-  // No more bytes follow. complete: the body has not been truncated.
+  // No more bytes follow. complete: false if the body has been truncated.
   void finish(bool complete);
   void on_writable(Callback callback) { writable_ = std::move(callback); }
 
-  // The reader's side.
+  // For the reader.
   bool is_empty() const { return bytes_.empty(); }
-  bool is_finished() const { return end_ != End::kOpen; }
-  bool is_complete() const { return end_ == End::kComplete; }
-  // All bytes that are buffered.
+  bool is_finished() const { return state_ != BodyState::kOpen; }
+  bool is_complete() const { return state_ == BodyState::kComplete; }
+  // Removes and returns all buffered bytes.
   std::string read();
-  // The reader has disconnected.
+  // The reader has disconnected: buffered bytes are discarded, and so are those that are written later.
   void abandon();
   void on_readable(Callback callback) { readable_ = std::move(callback); }
 
  private:
-  enum class End { kOpen, kComplete, kTruncated };
+  enum class BodyState { kOpen, kComplete, kTruncated };
 
   void notify(Callback BodyStream::*callback, bool BodyStream::*pending);
 
@@ -53,7 +53,7 @@
   MemoryReservation reservation_;
   std::size_t capacity_;
   std::string bytes_;
-  End end_ = End::kOpen;
+  BodyState state_ = BodyState::kOpen;
   bool abandoned_ = false;
   Callback writable_, readable_;
   bool writable_pending_ = false, readable_pending_ = false;
--- a/node/memory/memory_budget.h
+++ b/node/memory/memory_budget.h
@@ -1,4 +1,4 @@
-// The bytes that bodies may take up in this process, in both directions.
+// Limits the memory that request and response bodies occupy in this process.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace asterdrift::node::memory {
 
-// A number of bytes that MemoryReservation takes from.
+// A limited number of bytes, parts of which are reserved by MemoryReservation.
 class MemoryBudget {
  public:
   explicit MemoryBudget(std::size_t bytes) : size_(bytes) {}
@@ -15,7 +15,7 @@
 
   std::size_t size() const { return size_; }
   std::size_t available() const { return reserved_ < size_ ? size_ - reserved_ : 0; }
-  // Reservations beyond the new size stay valid until they end.
+  // Existing reservations stay valid until their release, even if they exceed the new size.
   void resize(std::size_t bytes) { size_ = bytes; }
 
  private:
@@ -25,7 +25,7 @@
   std::size_t reserved_ = 0;
 };
 
-// Reserved bytes of a budget, which has to outlive it. The destructor releases them.
+// Bytes reserved from a budget, which has to outlive the reservation. The destructor releases them.
 class MemoryReservation {
  public:
   MemoryReservation() = default;
@@ -40,7 +40,8 @@
   }
   ~MemoryReservation() { release(); }
 
-  // Reserves `bytes` in total, if `headroom` stays available. Otherwise returns false and changes nothing.
+  // Grows the reservation to `bytes` in total if at least `headroom` bytes of the budget stay available
+  // afterwards. Otherwise returns false and changes nothing.
   bool grow_to(std::size_t bytes, std::size_t headroom = 0) {
     if (budget_ == nullptr || bytes <= reserved_) return true;
     if (budget_->available() < bytes - reserved_ + headroom) return false;
--- a/node/net/address.cpp
+++ b/node/net/address.cpp
@@ -8,7 +8,7 @@
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
-std::string peer_text(const boost::asio::ip::tcp::socket& socket) {
+std::string peer_address(const boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code error;
   const boost::asio::ip::tcp::endpoint peer = socket.remote_endpoint(error);
   return error ? "unknown" : to_text(peer);
--- a/node/net/socket_probe.cpp
+++ b/node/net/socket_probe.cpp
@@ -8,13 +8,14 @@
 namespace asterdrift::node::net {
 namespace {
 
-// As recv(): the number of bytes seen, 0 or 1, or -1 with errno.
+// Returns what recv() returns: 1 if there is an unread byte, 0 at the end of the stream, -1 with errno on an
+// error.
 ssize_t peek(int socket) {
   char byte = 0;
   return ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
 }
 
-bool is_empty(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
+bool would_block(int error) { return error == EAGAIN || error == EWOULDBLOCK; }
 
 }  // namespace
 
@@ -22,7 +23,7 @@
 
 bool has_peer_disconnected(int socket) {
   const ssize_t size = peek(socket);
-  if (size <= 0) return size == 0 || (!is_empty(errno) && errno != EINTR);
+  if (size <= 0) return size == 0 || (!would_block(errno) && errno != EINTR);
   pollfd hang_up{socket, POLLRDHUP, 0};
   return ::poll(&hang_up, 1, 0) > 0;
 }
@@ -32,6 +33,6 @@
   return ::poll(&acceptable, 1, 0) > 0;
 }
 
-bool is_quiet(int socket) { return peek(socket) < 0 && is_empty(errno); }
+bool is_idle(int socket) { return peek(socket) < 0 && would_block(errno); }
 
 }  // namespace asterdrift::node::net
--- a/node/net/socket_probe.h
+++ b/node/net/socket_probe.h
@@ -3,17 +3,17 @@
 
 namespace asterdrift::node::net {
 
-// Whether bytes have arrived that are not read yet.
+// Whether bytes have arrived that have not been read yet.
 bool has_unread_bytes(int socket);
 
-// Whether the peer has ended its side of the connection, be it behind bytes that are not read yet, or the
-// connection has broken.
+// Whether the peer has ended its side of the connection, even if unread bytes precede the end, or the
+// connection has failed.
 bool has_peer_disconnected(int socket);
 
 // Whether a connection waits to be accepted by a listening socket.
 bool has_waiting_connection(int listening_socket);
 
-// Whether the connection is open and nothing has arrived.
-bool is_quiet(int socket);
+// Whether the connection is open and there is nothing to read: neither unread bytes nor the peer's end.
+bool is_idle(int socket);
 
 }  // namespace asterdrift::node::net
--- a/node/net/timed_read.cpp
+++ b/node/net/timestamped_read.cpp
@@ -1,4 +1,4 @@
-#include "node/net/timed_read.h"
+#include "node/net/timestamped_read.h"
 
 #include <sys/socket.h>
 #include <sys/types.h>
@@ -15,34 +15,35 @@
 namespace {
 
 constexpr double kNanosecondsPerSecond = 1e9;
-constexpr double kMaxAge = 10;  // s; bytes that seem older show that the system's clock has been set
+// Bytes that seem older than this show that the system's clock has been set.
+constexpr Seconds kMaxMessageAge = 10;
 
-double seconds_of(const timespec& time) {
+Seconds to_seconds(const timespec& time) {
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / kNanosecondsPerSecond;
 }
 
-// How long ago the bytes of a message arrived, in seconds; 0 where the system does not tell.
-double age_of(msghdr& message) {
+// How long ago the bytes of a received message arrived; 0 if the system has attached no timestamp.
+Seconds message_age(msghdr& message) {
   for (cmsghdr* part = CMSG_FIRSTHDR(&message); part != nullptr; part = CMSG_NXTHDR(&message, part)) {
     if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_TIMESTAMPNS) continue;
     timespec arrival{}, now{};
     std::memcpy(&arrival, CMSG_DATA(part), sizeof arrival);
     clock_gettime(CLOCK_REALTIME, &now);
-    const double age = seconds_of(now) - seconds_of(arrival);
-    return age > 0 && age < kMaxAge ? age : 0;
+    const Seconds age = to_seconds(now) - to_seconds(arrival);
+    return age > 0 && age < kMaxMessageAge ? age : 0;
   }
   return 0;
 }
 
 }  // namespace
 
-void enable_arrival_times(int socket) {
+void enable_arrival_timestamps(int socket) {
   const int enabled = 1;
   ::setsockopt(socket, SOL_SOCKET, SO_TIMESTAMPNS, &enabled, sizeof enabled);
 }
 
-TimedRead read_some(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer,
-                    boost::system::error_code& error) {
+TimestampedRead read_some(boost::asio::ip::tcp::socket& socket, boost::asio::mutable_buffer buffer,
+                          boost::system::error_code& error) {
   iovec target{buffer.data(), buffer.size()};
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(timespec))> control;
   msghdr message{};
@@ -58,7 +59,7 @@
   if (size == 0) error = boost::asio::error::eof;
   if (size < 0) error = boost::system::error_code(errno, boost::system::system_category());
   if (size <= 0) return {};
-  return {static_cast<std::size_t>(size), timing::now() - age_of(message)};
+  return {static_cast<std::size_t>(size), timing::now() - message_age(message)};
 }
 
 }  // namespace asterdrift::node::net
--- a/node/process/graceful_shutdown.cpp
+++ b/node/process/graceful_shutdown.cpp
@@ -69,7 +69,7 @@
     hand_over_new_connections();
   }
   if (may_stop_accepting(elapsed, is_replaced)) stop_accepting();
-  if (elapsed >= close_idle_time(is_replaced)) server_.close_idle();
+  if (elapsed >= close_idle_time(is_replaced)) server_.close_idle_connections();
   if (elapsed >= final_response_time_) {
     dispatcher_.expire_all();
     server_.reject_partial_requests();
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -141,7 +141,7 @@
 
 std::string Node::metrics_report() const {
   const balancer::EndpointSetView endpoints = dispatcher_.endpoints();
-  return metrics_.report({server_.pending(), endpoints.listed, endpoints.unavailable});
+  return metrics_.report({server_.pending_requests(), endpoints.listed, endpoints.unavailable});
 }
 
 }  // namespace asterdrift::node::process
--- a/node/timing/clock.cpp
+++ b/node/timing/clock.cpp
@@ -9,27 +9,27 @@
 constexpr double kNanosecondsPerSecond = 1e9;
 
 template <class Clock>
-double seconds_of() {
-  return std::chrono::duration<double>(Clock::now().time_since_epoch()).count();
+Seconds seconds_since_epoch() {
+  return std::chrono::duration<Seconds>(Clock::now().time_since_epoch()).count();
 }
 
 }  // namespace
 
-double now() { return seconds_of<std::chrono::steady_clock>(); }
+Seconds now() { return seconds_since_epoch<std::chrono::steady_clock>(); }
 
-double steady_time_of_unix_ms(double unix_ms) {
-  static const double kOffset = now() - seconds_of<std::chrono::system_clock>();
+Seconds to_steady_time(double unix_ms) {
+  static const Seconds kOffset = now() - seconds_since_epoch<std::chrono::system_clock>();
   return unix_ms == 0 ? 0 : unix_ms / 1000 + kOffset;
 }
 
-std::chrono::nanoseconds duration_of(double seconds) {
-  return std::chrono::nanoseconds(static_cast<std::int64_t>(std::max(0.0, seconds) * kNanosecondsPerSecond));
+std::chrono::nanoseconds to_duration(Seconds duration) {
+  return std::chrono::nanoseconds(static_cast<std::int64_t>(std::max(0.0, duration) * kNanosecondsPerSecond));
 }
 
-boost::asio::steady_timer::time_point time_point_of(double steady_seconds) {
+boost::asio::steady_timer::time_point to_time_point(Seconds steady_time) {
   return boost::asio::steady_timer::time_point(
       std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-          std::chrono::duration<double>(steady_seconds)));
+          std::chrono::duration<Seconds>(steady_time)));
 }
 
 }  // namespace asterdrift::node::timing
--- a/node/timing/clock.h
+++ b/node/timing/clock.h
@@ -1,20 +1,23 @@
-// The clocks of a node.
+// The node's clock, and conversions between its times and those of other clocks.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::node::timing {
 
-// The steady clock in seconds, as the balancer counts time.
-double now();
+// The current time on the steady clock, which is the clock of the balancer's times.
+Seconds now();
 
-// Converts a Unix time in milliseconds to that clock. 0 stays 0 (long ago). The offset between the clocks is
-// measured once: otherwise the same start time would change with each list, and look like a restart.
-double steady_time_of_unix_ms(double unix_ms);
+// Converts a Unix time in milliseconds to the steady clock. 0 means long ago and stays 0. The offset between
+// the clocks is measured only once per process: if it were measured again for each endpoint list, an
+// unchanged start time would have a different result each time, and look like a restart of the server.
+Seconds to_steady_time(double unix_ms);
 
-// For timers; negative durations count as 0.
-std::chrono::nanoseconds duration_of(double seconds);
-boost::asio::steady_timer::time_point time_point_of(double steady_seconds);
+// Conversions for timers. A negative duration becomes 0.
+std::chrono::nanoseconds to_duration(Seconds duration);
+boost::asio::steady_timer::time_point to_time_point(Seconds steady_time);
 
 }  // namespace asterdrift::node::timing
--- a/node/upstream/attempt_timer.h
+++ b/node/upstream/attempt_timer.h
@@ -39,7 +39,7 @@
   // Waits until `time`, in place of an earlier wait.
   template <class Handler>
   void wait_until(double time, Handler&& handler) {
-    timer_.expires_after(timing::duration_of(time - timing::now()));
+    timer_.expires_after(timing::to_duration(time - timing::now()));
     timer_.async_wait(std::forward<Handler>(handler));
   }
   void cancel() { timer_.cancel(); }
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -100,7 +100,7 @@
   wait_readable();
 }
 
-bool Connection::is_stale() { return !net::is_quiet(socket_.native_handle()); }
+bool Connection::is_stale() { return !net::is_idle(socket_.native_handle()); }
 
 // Ends the attempt, if there is one, and with it the connection unless it may be reused.
 void Connection::end(Outcome outcome, Reuse reuse) {
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -139,7 +139,7 @@
 void ConnectionPool::close_expired() {
   while (!idle_.empty() && now() - idle_.front()->idle_since() >= max_idle_time_) close_oldest_idle();
   const double idle_time = idle_.empty() ? 0 : now() - idle_.front()->idle_since();
-  expiry_timer_.expires_after(timing::duration_of(max_idle_time_ - idle_time));
+  expiry_timer_.expires_after(timing::to_duration(max_idle_time_ - idle_time));
   expiry_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
   });
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -14,7 +14,7 @@
   owned_ += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n\r\n";
   borrowed_ = request_->body;
   if (request_->is_chunked) {  // the buffered bytes are the first chunk
-    owned_ += http::chunk_of(request_->body);
+    owned_ += http::encode_chunk(request_->body);
     borrowed_ = {};
   }
 }
@@ -50,7 +50,7 @@
     return owned_.empty() ? next() : Next::kPiece;
   }
   request_->rest_consumed = true;
-  owned_ = request_->is_chunked ? http::chunk_of(rest->read()) : rest->read();
+  owned_ = request_->is_chunked ? http::encode_chunk(rest->read()) : rest->read();
   return Next::kPiece;
 }
 
