--- a/src/support/decaying_statistics.h
+++ b/src/support/decaying_statistics.h
@@ -14,7 +14,7 @@
 
   // Counts an event.
   void add(Seconds now);
-  // The rate at the given time, which must not be before the last event.
+  // The rate at the given time.
   double at(Seconds now) const {
     return rate_ == 0 ? 0 : rate_ * std::exp((updated_at_ - now) / time_constant_);
   }
