--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -43,8 +43,8 @@
 
 void Connection::start() {
   reader_.set_callbacks(reader_callbacks());
-  enter(State::kFresh);
-  wait_readable();
+  enter(State::kAwaitingFirstRequest);
+  wait_until_readable();
 }
 
 void Connection::enter(State state) {
@@ -54,7 +54,7 @@
 
 void Connection::close() {
   if (is_in(State::kClosed)) return;
-  const bool awaited_response = awaits_response();
+  const bool was_awaiting_response = awaits_response();
   enter(State::kClosed);
   error_code ignored;
   socket_.close(ignored);
@@ -62,13 +62,13 @@
   accounting_.on_connection_closed(reader_.request_class());
   reader_.clear_request_class();
   sender_.stop();
-  if (awaited_response) withdraw_request();
+  if (was_awaiting_response) abandon_request();
   --server_.connections;
 }
 
 bool Connection::close_if_idle() {
-  if (!is_in(State::kIdle) && !is_in(State::kFresh)) return false;
-  // Unread bytes are a request that has already been received.
+  if (!is_in(State::kIdle) && !is_in(State::kAwaitingFirstRequest)) return false;
+  // Unread bytes belong to a request that has already arrived.
   if (net::has_unread_bytes(socket_.native_handle())) return false;
   close();
   return true;
@@ -78,20 +78,23 @@
   if (reader_.is_paused() && has_client_disconnected()) close();
 }
 
-double Connection::slow_at(double limit) const {
-  return std::max((has_responded_ ? reader_.began_at() : connected_at_) + limit, reader_.too_slow_at());
+Seconds Connection::receive_deadline(Seconds min_age) const {
+  const Seconds began_at = has_responded_ ? reader_.began_at() : connected_at_;
+  return std::max(began_at + min_age, reader_.receive_deadline());
 }
 
-bool Connection::close_if_slow(double limit) {
-  if (now() < slow_at(limit)) return false;
+bool Connection::close_if_slow(Seconds min_age) {
+  if (now() < receive_deadline(min_age)) return false;
   error_code ignored;
-  if (!is_in(State::kFresh)) socket_.write_some(asio::buffer(http::kRequestTimeoutResponse), ignored);
+  if (!is_in(State::kAwaitingFirstRequest)) {
+    socket_.write_some(asio::buffer(http::kRequestTimeoutResponse), ignored);
+  }
   close();
   return true;
 }
 
-void Connection::close_if_stuck(double limit) {
-  if (sender_.is_writing() && now() - state_since() > limit) close();
+void Connection::close_if_write_stalled(Seconds timeout) {
+  if (sender_.is_writing() && now() - state_since() > timeout) close();
 }
 
 void Connection::reject_partial_request() {
@@ -99,7 +102,7 @@
   guard([this] { reject(RequestError(kServiceUnavailable)); });
 }
 
-// An exception, such as one for lack of memory, ends this connection alone.
+// An exception, such as std::bad_alloc, closes this connection and leaves the others open.
 void Connection::guard(const std::function<void()>& step) {
   try {
     step();
@@ -112,13 +115,13 @@
 
 bool Connection::has_client_disconnected() { return net::has_peer_disconnected(socket_.native_handle()); }
 
-// One wait is pending at any time, also while a response is awaited: otherwise a disconnection would not be
-// noticed.
-void Connection::wait_readable() {
-  if (is_waiting_readable_ || is_in(State::kClosed)) return;
-  is_waiting_readable_ = true;
+// Keeps one wait pending, also while a response is awaited: otherwise a disconnection of the client would not
+// be noticed.
+void Connection::wait_until_readable() {
+  if (is_read_wait_pending_ || is_in(State::kClosed)) return;
+  is_read_wait_pending_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const error_code& error) {
-    self->is_waiting_readable_ = false;
+    self->is_read_wait_pending_ = false;
     if (self->is_in(State::kClosed)) return;
     if (error) return self->close();
     self->guard([connection = self.get()] { connection->read(); });
@@ -128,17 +131,17 @@
 void Connection::read() {
   error_code error;
   const net::TimestampedRead received = net::read_some(socket_, asio::buffer(server_.read_buffer), error);
-  if (error == asio::error::would_block) return wait_readable();
+  if (error == asio::error::would_block) return wait_until_readable();
   if (error) return close();
   if (is_in(State::kClosing)) {
     discarded_bytes_ += received.size;
-    return discarded_bytes_ > memory::kMaxBodyBytes ? close() : wait_readable();
+    return discarded_bytes_ > memory::kMaxBodyBytes ? close() : wait_until_readable();
   }
   const std::string_view bytes(server_.read_buffer.data(), received.size);
-  if (is_in(State::kWaiting) || is_in(State::kWriting)) {
-    // Unread bytes would hide a disconnection.
+  if (is_in(State::kAwaitingResponse) || is_in(State::kWriting)) {
+    // Bytes left unread in the socket would hide a disconnection of the client.
     input_.append_pipelined(bytes, received.arrived_at);
-    return wait_readable();
+    return wait_until_readable();
   }
   input_.append(bytes, received.arrived_at);
   if (!is_in(State::kReading) && !is_in(State::kUploading)) begin_request();
@@ -159,15 +162,15 @@
   }
 }
 
-// Returns whether more can be parsed now.
+// Returns whether parsing can go on with the bytes that are buffered.
 bool Connection::parse_next() {
   switch (reader_.read(input_.bytes())) {
     case RequestReader::Result::kNeedsMore:
-      wait_readable();
+      wait_until_readable();
       return false;
     case RequestReader::Result::kPaused:
       return false;
-    case RequestReader::Result::kUpload:
+    case RequestReader::Result::kUploadStarted:
       return dispatch(State::kUploading);
     case RequestReader::Result::kComplete:
       is_in(State::kUploading) ? finish_upload() : handle_request();
@@ -191,22 +194,22 @@
 void Connection::resume_upload() {
   if (!is_in(State::kUploading)) return;
   reader_.resume(now());
-  wait_readable();
+  wait_until_readable();
 }
 
-// The last byte of a streamed body has arrived.
+// Called when the last byte of a streamed body has arrived.
 void Connection::finish_upload() {
   if (has_client_disconnected()) return close();
   reader_.finish_upload();
-  enter(State::kWaiting);
-  if (request_id_) server_.dispatcher.on_body_received(*request_id_, input_.parsed_arrived_at());
-  wait_readable();
+  enter(State::kAwaitingResponse);
+  if (request_id_) server_.dispatcher.on_body_received(*request_id_, input_.parsed_bytes_arrived_at());
+  wait_until_readable();
 }
 
 void Connection::handle_request() {
   if (reader_.path() == "/healthz") return respond_to_health_check();
   if (!reader_.api_request()) return respond({.status = kNotFound});
-  dispatch(State::kWaiting);
+  dispatch(State::kAwaitingResponse);
 }
 
 void Connection::respond_to_health_check() {
@@ -216,8 +219,8 @@
   respond({.status = server_.is_ready() ? kOk : kServiceUnavailable});
 }
 
-// Hands the request to the dispatcher, with the bytes of its body that have arrived. Returns whether reading
-// goes on. Throws RequestError.
+// Passes the request to the dispatcher, with the bytes of its body that have arrived. Returns whether the
+// connection is still in the state `next`, so that reading can go on. Throws RequestError.
 bool Connection::dispatch(State next) {
   if (reader_.method() != beast_http::verb::post && reader_.has_body()) {
     throw RequestError(kBadRequest, "a body where none belongs");
@@ -225,17 +228,17 @@
   server_.check_not_in_flight(reader_.api_request()->client_request_id);
   if (server_.is_overloaded() || !server_.dispatcher.is_endpoint_list_current())
     throw RequestError(kServiceUnavailable);
-  // The request may have waited in the socket for longer than its client did.
+  // The request may have been unread in the socket until after its client disconnected.
   if (has_client_disconnected()) {
     close();
     return false;
   }
   dispatch::DownstreamRequest request = take_request();
-  if (next == State::kWaiting) reader_.release_parser();
+  if (next == State::kAwaitingResponse) reader_.release_parser();
   enter(next);
   accounting_.on_dispatched();
   request_id_.reset();
-  wait_readable();
+  wait_until_readable();
   is_dispatching_ = true;
   const dispatch::RequestId id = server_.dispatcher.dispatch(
       std::move(request), [self = shared_from_this()](dispatch::DownstreamResponse&& response) {
@@ -248,7 +251,7 @@
 
 dispatch::DownstreamRequest Connection::take_request() {
   dispatch::DownstreamRequest request = reader_.take_api_request();
-  request.received_at = input_.parsed_arrived_at();
+  request.received_at = input_.parsed_bytes_arrived_at();
   request.has_client_disconnected = [self = weak_from_this()] {
     const auto connection = self.lock();
     return !connection || (!connection->is_dispatching_ && connection->has_client_disconnected());
@@ -256,8 +259,8 @@
   return request;
 }
 
-// The client awaits no response any more.
-void Connection::withdraw_request() {
+// The client no longer awaits the response.
+void Connection::abandon_request() {
   if (request_id_) server_.dispatcher.on_client_disconnected(*request_id_);
 }
 
@@ -272,7 +275,7 @@
 void Connection::reject(const RequestError& error) {
   dispatch::DownstreamResponse response{.status = error.status()};
   if (error.status() == kServiceUnavailable) response = server_.dispatcher.rejection_response();
-  if (is_in(State::kUploading)) withdraw_request();
+  if (is_in(State::kUploading)) abandon_request();
   const std::string message = error.what();
   if (!message.empty()) {
     response.body = message + "\n";
@@ -282,54 +285,57 @@
 }
 
 void Connection::respond(dispatch::DownstreamResponse&& response, bool close_connection) {
-  // The rest of an upload is not read, so that the start of the next request is not known.
+  // The rest of an unfinished upload is not parsed, so that the start of the next request would not be known.
   const bool is_uploading = is_in(State::kUploading);
   const bool client_reads_chunks = reader_.client_reads_chunks();
-  closes_after_response_ = close_connection || is_uploading ||
-                           ends_with_connection(response, client_reads_chunks) || !reader_.is_keep_alive() ||
-                           server_.has_too_many_connections() || must_close();
+  closes_after_response_ =
+      close_connection || is_uploading || ends_at_connection_close(response, client_reads_chunks) ||
+      !reader_.is_keep_alive() || server_.has_too_many_connections() || must_close_after_response();
   response_status_ = response.status;
   reader_.release();
   const bool head_only = std::exchange(is_head_request_, false);
   enter(State::kWriting);
-  if (is_uploading) wait_readable();
+  if (is_uploading) wait_until_readable();
   sender_.send(std::move(response), {closes_after_response_, client_reads_chunks, head_only});
 }
 
-// Whether no other request may follow on this connection.
-bool Connection::must_close() const { return server_.closes_after_responses || input_.has_overflowed(); }
+// Whether the connection cannot serve another request after the current one.
+bool Connection::must_close_after_response() const {
+  return server_.closes_after_responses || input_.has_overflowed();
+}
 
 void Connection::on_response_written() {
   accounting_.on_response_written(reader_.request_class(), response_status_);
   reader_.clear_request_class();
   has_responded_ = true;
   input_.release_reservation();
-  // The client goes on using a connection whose end its response has not announced.
+  // After a response without "Connection: close" the client goes on using the connection.
   if (closes_after_response_ || input_.has_overflowed()) return begin_closing();
   if (input_.is_empty()) {
     input_.clear();
     enter(State::kIdle);
-    return wait_readable();
+    return wait_until_readable();
   }
   begin_request();
   parse();
 }
 
-// A truncated response must not look complete: without a length or chunks, only a reset shows the difference.
+// A truncated response must not look complete. If the response has neither a length nor chunks, only a reset
+// of the connection tells the client that bytes are missing.
 void Connection::on_response_truncated() {
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   close();
 }
 
-// Closing a socket with unread bytes resets the connection, and the client may lose the response. So incoming
-// bytes are discarded until the client closes.
+// Closing a socket with unread bytes resets the connection, and the client may lose the response. Therefore
+// the socket stays open and incoming bytes are discarded until the client closes the connection.
 void Connection::begin_closing() {
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
   input_.clear();
   enter(State::kClosing);
-  wait_readable();
+  wait_until_readable();
 }
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -1,4 +1,4 @@
-// One client's connection: reads requests, and writes their responses in order.
+// One client's connection. Reads its requests, and writes their responses in the order of the requests.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -6,9 +6,10 @@
 #include <memory>
 #include <optional>
 
+#include "asterdrift/seconds.h"
 #include "node/dispatch/request_id.h"
+#include "node/downstream/connection_state_tracker.h"
 #include "node/downstream/input_buffer.h"
-#include "node/downstream/listed_state.h"
 #include "node/downstream/request_accounting.h"
 #include "node/downstream/request_error.h"
 #include "node/downstream/request_reader.h"
@@ -17,8 +18,8 @@
 
 namespace asterdrift::node::downstream {
 
-// Handles one request at a time; bytes of the next one are buffered meanwhile. Owned by the server's lists
-// and by pending operations on its socket.
+// Handles one request at a time; pipelined bytes are buffered meanwhile. A connection is owned by the
+// server's lists and by the pending operations on its socket.
 class Connection : public std::enable_shared_from_this<Connection>, private ResponseSenderOwner {
  public:
   // server has to outlive the connection.
@@ -30,34 +31,35 @@
   void start();
   void close();
 
-  // Closes it unless a request is being read, or its response is awaited or being written. Returns whether it
-  // has been closed.
+  // Closes the connection unless a request is being read, or its response is awaited or being written.
+  // Returns whether the connection has been closed.
   bool close_if_idle();
-  // Closes it where its upload is paused and its client has disconnected: the bytes of a paused upload are
-  // not read, so that the disconnection would not be noticed.
+  // Closes the connection if its upload is paused and its client has disconnected. Nothing is read from the
+  // socket during a pause, so that the disconnection would not be noticed otherwise.
   void close_if_client_disconnected();
-  // When its incomplete request will have had `limit` s and be too slow, on the steady clock.
-  double slow_at(double limit) const;
-  // Closes it where that time has come. Returns whether it has been closed.
-  bool close_if_slow(double limit);
-  // Closes it where its client has taken no byte of its response for `limit` s.
-  void close_if_stuck(double limit);
-  // Rejects a request that is still being read.
+  // When the incomplete request has been arriving for `min_age` and is arriving too slowly, on the steady
+  // clock. The age of a connection's first request counts from the connection's start.
+  Seconds receive_deadline(Seconds min_age) const;
+  // Closes the connection if the receive deadline has passed. Returns whether it has been closed.
+  bool close_if_slow(Seconds min_age);
+  // Closes the connection if its client has taken no byte of the response for longer than `timeout`.
+  void close_if_write_stalled(Seconds timeout);
+  // Rejects the request if it is still being read.
   void reject_partial_request();
 
   // On the steady clock.
-  double connected_at() const { return connected_at_; }
-  double state_since() const { return state_.since(); }
+  Seconds connected_at() const { return connected_at_; }
+  Seconds state_since() const { return state_.since(); }
 
  private:
   using State = ConnectionState;
 
   void enter(State state);
   bool is_in(State state) const { return state_.current() == state; }
-  bool awaits_response() const { return is_in(State::kWaiting) || is_in(State::kUploading); }
+  bool awaits_response() const { return is_in(State::kAwaitingResponse) || is_in(State::kUploading); }
   bool has_client_disconnected();
 
-  void wait_readable();
+  void wait_until_readable();
   void read();
   void begin_request();
   void parse();
@@ -70,12 +72,12 @@
   void respond_to_health_check();
   bool dispatch(State next);
   dispatch::DownstreamRequest take_request();
-  void withdraw_request();
+  void abandon_request();
   void handle_response(dispatch::DownstreamResponse&& response);
 
   void reject(const RequestError& error);
   void respond(dispatch::DownstreamResponse&& response, bool close_connection = false);
-  bool must_close() const;
+  bool must_close_after_response() const;
   void begin_closing();
 
   // ResponseSenderOwner.
@@ -88,19 +90,20 @@
 
   ServerState& server_;
   boost::asio::ip::tcp::socket socket_;
-  const double connected_at_;
-  ListedState state_;
+  const Seconds connected_at_;
+  ConnectionStateTracker state_;
   InputBuffer input_;
   RequestReader reader_;
   RequestAccounting accounting_;
   ResponseSender sender_;
-  bool is_waiting_readable_ = false;
+  bool is_read_wait_pending_ = false;
   bool has_responded_ = false;
-  std::size_t discarded_bytes_ = 0;  // received after the last response
+  std::size_t discarded_bytes_ = 0;  // bytes received after the last response
 
-  // Of the current request.
-  std::optional<dispatch::RequestId> request_id_;  // once the dispatcher has taken it
-  bool is_dispatching_ = false;                    // the client was seen connected just before
+  // State of the current request.
+  std::optional<dispatch::RequestId> request_id_;  // set when the dispatcher has accepted the request
+  // Whether the request is being passed to the dispatcher, just after the client was found to be connected.
+  bool is_dispatching_ = false;
   bool is_head_request_ = false;
   unsigned response_status_ = 0;
   bool closes_after_response_ = false;
--- a/node/downstream/connection_evictor.cpp
+++ b/node/downstream/connection_evictor.cpp
@@ -12,10 +12,12 @@
 
 using timing::now;
 
-// s after which a new connection, or one whose request is arriving, counts as inactive; and s before which
-// it is not evicted at all.
-constexpr double kInactiveAge = 0.25, kMinEvictionAge = 0.05;
-constexpr int kMaxProbes = 16;  // idle connections of a list that are examined for unread bytes
+// The age from which a new connection, or one whose request is arriving, counts as inactive.
+constexpr Seconds kInactiveAge = 0.25;
+// The age up to which a new connection, or one whose request is arriving, is not evicted at all.
+constexpr Seconds kMinEvictionAge = 0.05;
+// How many connections of a list are examined for unread bytes in one eviction.
+constexpr int kMaxProbedConnections = 16;
 
 }  // namespace
 
@@ -24,37 +26,44 @@
 
 bool ConnectionEvictor::evict_one(Reason reason) {
   reason_ = reason;
-  const double time = now();
-  const auto is_older = [time](const Connection& each) { return time - each.connected_at() >= kInactiveAge; };
-  const auto is_old_enough = [time](const Connection& each) {
-    return time - each.connected_at() >= kMinEvictionAge;
+  const Seconds time = now();
+  const auto is_inactive = [time](const Connection& connection) {
+    return time - connection.connected_at() >= kInactiveAge;
   };
-  const auto is_any = [](const Connection&) { return true; };
+  const auto is_old_enough = [time](const Connection& connection) {
+    return time - connection.connected_at() >= kMinEvictionAge;
+  };
+  const auto is_any_age = [](const Connection&) { return true; };
   ConnectionLists& lists = server_.lists;
-  return evict_closing() || evict_idle(lists.fresh, State::kNew, is_older) ||
-         evict_idle(lists.idle, State::kIdle, is_older) || evict_slow(kInactiveAge) ||
-         evict_idle(lists.idle, State::kIdle, is_any) ||
-         evict_idle(lists.fresh, State::kNew, is_old_enough) || evict_slow(kMinEvictionAge);
+  return evict_closing() || evict_idle(lists.awaiting_first_request, EvictedState::kNew, is_inactive) ||
+         evict_idle(lists.idle, EvictedState::kIdle, is_inactive) || evict_slow(kInactiveAge) ||
+         evict_idle(lists.idle, EvictedState::kIdle, is_any_age) ||
+         evict_idle(lists.awaiting_first_request, EvictedState::kNew, is_old_enough) ||
+         evict_slow(kMinEvictionAge);
 }
 
-double ConnectionEvictor::next_eviction_at() const {
-  double next = std::numeric_limits<double>::infinity();
-  if (!server_.lists.fresh.empty()) next = server_.lists.fresh.front()->connected_at() + kMinEvictionAge;
+Seconds ConnectionEvictor::next_eviction_at() const {
+  Seconds next = std::numeric_limits<Seconds>::infinity();
+  if (!server_.lists.awaiting_first_request.empty()) {
+    next = server_.lists.awaiting_first_request.front()->connected_at() + kMinEvictionAge;
+  }
   for (const std::shared_ptr<Connection>& connection : server_.lists.reading) {
-    next = std::min(next, connection->slow_at(kMinEvictionAge));
+    next = std::min(next, connection->receive_deadline(kMinEvictionAge));
   }
   return next;
 }
 
-// Closes the connection that has been idle longest. Connections with an unread request are skipped.
+// Closes the connection of the list that has been idle longest. Connections with unread bytes, which belong
+// to a request that has already arrived, are skipped.
 template <class IsOldEnough>
-bool ConnectionEvictor::evict_idle(ConnectionList& list, State state, const IsOldEnough& is_old_enough) {
+bool ConnectionEvictor::evict_idle(ConnectionList& list, EvictedState state,
+                                   const IsOldEnough& is_old_enough) {
   int probes = 0;
-  for (auto it = list.begin(); it != list.end() && probes < kMaxProbes;) {
+  for (auto it = list.begin(); it != list.end() && probes < kMaxProbedConnections;) {
     const std::shared_ptr<Connection> connection = *it++;
     if (!is_old_enough(*connection)) continue;
     ++probes;
-    const double since = connection->state_since();
+    const Seconds since = connection->state_since();
     if (!connection->close_if_idle()) continue;
     record(state, since);
     return true;
@@ -65,26 +74,26 @@
 bool ConnectionEvictor::evict_closing() {
   if (server_.lists.closing.empty()) return false;
   const std::shared_ptr<Connection> oldest = server_.lists.closing.front();
-  record(State::kClosing, oldest->state_since());
+  record(EvictedState::kClosing, oldest->state_since());
   oldest->close();
   return true;
 }
 
-bool ConnectionEvictor::evict_slow(double min_age) {
+bool ConnectionEvictor::evict_slow(Seconds min_age) {
   ConnectionList& reading = server_.lists.reading;
-  const auto is_slow = [min_age](const std::shared_ptr<Connection>& each) {
-    return each->slow_at(min_age) <= now();
+  const auto is_slow = [min_age](const std::shared_ptr<Connection>& connection) {
+    return connection->receive_deadline(min_age) <= now();
   };
   const auto slow = std::ranges::find_if(reading, is_slow);
   if (slow == reading.end()) return false;
   const std::shared_ptr<Connection> connection = *slow;
-  const double since = connection->state_since();
+  const Seconds since = connection->state_since();
   if (!connection->close_if_slow(min_age)) return false;
-  record(State::kPartialRequest, since);
+  record(EvictedState::kPartialRequest, since);
   return true;
 }
 
-void ConnectionEvictor::record(State state, double since) {
+void ConnectionEvictor::record(EvictedState state, Seconds since) {
   log_.record({.connection_state = state,
                .is_recent = now() - since < kInactiveAge,
                .client_is_waiting = reason_ == Reason::kClientIsWaiting});
--- a/node/downstream/eviction_log.h
+++ b/node/downstream/eviction_log.h
@@ -1,4 +1,4 @@
-// Records which connections the server closes to make room for others.
+// Records the connections that are closed to make room for others.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,10 +9,10 @@
 
 namespace asterdrift::node::downstream {
 
-// Counts each eviction in the metrics, and logs their number once a second at most.
+// Counts each eviction in the metrics, and logs the number of evictions at most once a second.
 class EvictionLog {
  public:
-  // The arguments have to outlive this.
+  // The arguments have to outlive the log.
   EvictionLog(boost::asio::io_context& io, telemetry::Metrics& metrics) : metrics_(metrics), timer_(io) {}
 
   void record(const telemetry::Eviction& eviction);
@@ -22,7 +22,7 @@
 
   telemetry::Metrics& metrics_;
   boost::asio::steady_timer timer_;
-  // Since the last line. The timer runs while there are any.
+  // Evictions since the last log line. The timer runs if there have been any.
   std::size_t evictions_ = 0, recent_ = 0, without_waiting_client_ = 0;
 };
 
--- a/node/downstream/request_accounting.cpp
+++ b/node/downstream/request_accounting.cpp
@@ -5,9 +5,10 @@
 namespace asterdrift::node::downstream {
 namespace {
 
-constexpr unsigned kNoResponse = 0;  // in place of a status
+// Counted in place of a status if the client has had no complete response.
+constexpr unsigned kNoResponse = 0;
 
-// Whether a status may come from a valid request that this node rejects before it reaches the dispatcher.
+// Whether this node may respond with this status to a valid request without passing it to the dispatcher.
 bool is_rejection(unsigned status) {
   return status == kServiceUnavailable || status == kConflict || status == kPayloadTooLarge;
 }
--- a/node/downstream/request_accounting.h
+++ b/node/downstream/request_accounting.h
@@ -1,4 +1,4 @@
-// Counts one connection's requests for the metrics and for the server's number of pending requests.
+// Counts the requests of one connection.
 #pragma once
 
 #include <cstddef>
@@ -8,25 +8,27 @@
 
 namespace asterdrift::node::downstream {
 
-// request_class: the index of the current request's class; empty where the request has none that is known.
+// Updates the metrics and the server's number of pending requests. request_class is the index of the current
+// request's class, and empty if the request has no known class.
 class RequestAccounting {
  public:
-  // server has to outlive this.
+  // server has to outlive this object.
   explicit RequestAccounting(ServerState& server) : server_(server) {}
 
-  // The dispatcher takes the current request.
+  // Called when the current request is passed to the dispatcher.
   void on_dispatched();
-  // The response has been written completely. A valid request that was rejected before it reached the
-  // dispatcher is counted too.
+  // Called when the response has been written completely. A valid request that was rejected before it reached
+  // the dispatcher is counted too.
   void on_response_written(std::optional<std::size_t> request_class, unsigned status);
-  // The connection has ended, and with it a dispatched request without a complete response.
+  // Called when the connection is closed. If a dispatched request has no complete response, it is counted as
+  // one without a response.
   void on_connection_closed(std::optional<std::size_t> request_class);
 
  private:
   void count(std::size_t request_class, unsigned status);
 
   ServerState& server_;
-  bool is_dispatched_ = false;  // and has no complete response
+  bool is_dispatched_ = false;  // a request has been dispatched and has no complete response
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/request_error.h
+++ b/node/downstream/request_error.h
@@ -1,4 +1,4 @@
-// Why a request is rejected before it reaches the balancer.
+// The error for requests that are rejected before they reach the balancer.
 #pragma once
 
 #include <stdexcept>
@@ -8,8 +8,8 @@
 
 namespace asterdrift::node::downstream {
 
-// A request that cannot be used, or that this node has no memory for. It reaches no server. The message, if
-// there is one, is the body of the response.
+// Thrown for an invalid request, or for a request that this node has no capacity for. The request is not
+// forwarded. The message, unless it is empty, becomes the body of the response.
 class RequestError : public std::runtime_error {
  public:
   explicit RequestError(unsigned status, const std::string& message = {})
--- a/node/downstream/request_parser.cpp
+++ b/node/downstream/request_parser.cpp
@@ -12,21 +12,21 @@
 
 constexpr unsigned kHttp11 = 11;
 
-// Whether a header is folded over two lines. Beast joins them, other implementations read two headers.
+// Whether a header is folded over two lines. Beast joins the lines; other implementations read two headers.
 bool has_folded_header(std::string_view bytes) {
   const std::string_view head = bytes.substr(0, bytes.find("\r\n\r\n"));
   return head.find("\r\n ") != std::string_view::npos || head.find("\r\n\t") != std::string_view::npos;
 }
 
-unsigned status_of(const error_code& error) {
+unsigned to_status(const error_code& error) {
   if (error == beast_http::error::body_limit) return kPayloadTooLarge;
   return error == beast_http::error::header_limit ? kHeaderFieldsTooLarge : kBadRequest;
 }
 
 }  // namespace
 
-// Not eager: an eager parser of Beast 1.74 continues after a head whose body is over the limit, and parses
-// the body as a head.
+// The parser is not eager: an eager parser of Beast 1.74 goes on after a head that announces a body over the
+// limit, and parses that body as another head.
 RequestParser::RequestParser() { parser_.body_limit(memory::kMaxBodyBytes); }
 
 RequestParser::Event RequestParser::parse(std::string_view& bytes) {
@@ -35,14 +35,14 @@
   error_code error;
   const std::size_t used = parser_.put(boost::asio::buffer(bytes.data(), bytes.size()), error);
   bytes.remove_prefix(used);
-  // Beast's own limit does not count complete lines.
+  // Beast's own limit for heads does not count complete lines.
   if (in_head) head_bytes_ += used;
   if (head_bytes_ > kMaxHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
   if (error == beast_http::error::need_more) return Event::kNeedsMore;
-  if (error) throw RequestError(status_of(error));
-  if (in_head && parser_.is_header_done()) return Event::kHead;
+  if (error) throw RequestError(to_status(error));
+  if (in_head && parser_.is_header_done()) return Event::kHeadComplete;
   if (used == 0) return Event::kNeedsMore;
-  return in_head ? Event::kProgress : Event::kBody;
+  return in_head ? Event::kHeadProgress : Event::kBodyProgress;
 }
 
 bool RequestParser::client_reads_chunks() const { return parser_.get().version() >= kHttp11; }
--- a/node/downstream/request_parser.h
+++ b/node/downstream/request_parser.h
@@ -1,4 +1,4 @@
-// A client's request as it arrives. No I/O.
+// Parses a client's request while it arrives. Does no I/O.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -13,32 +13,35 @@
 
 namespace asterdrift::node::downstream {
 
-// Parses one request, in any number of pieces. The caller moves its body out as it is parsed.
+// Parses one request, which may arrive in any number of pieces. The caller moves the parsed bytes of the body
+// out of the parser.
 class RequestParser {
  public:
   using Head = boost::beast::http::header<true, boost::beast::http::fields>;
 
   enum class Event {
-    kNeedsMore,  // these bytes complete nothing
-    kProgress,   // bytes of the head
-    kHead,       // the head is complete
-    kBody        // bytes of the body
+    kNeedsMore,     // nothing can be parsed until more bytes arrive
+    kHeadProgress,  // a part of the head has been parsed
+    kHeadComplete,  // the head has been parsed completely
+    kBodyProgress   // a part of the body has been parsed
   };
 
-  static constexpr std::size_t kMaxHeadBytes = 8UL * 1024;  // of a request's head and of a chunk's
+  // The limit for the head of a request, and for the header of a chunk.
+  static constexpr std::size_t kMaxHeadBytes = 8UL * 1024;
 
   RequestParser();
 
-  // Parses up to the next event, and removes from `bytes` what it has parsed. Throws RequestError.
+  // Parses up to the next event, and removes the parsed bytes from `bytes`. Throws RequestError.
   Event parse(std::string_view& bytes);
 
   bool is_done() const { return parser_.is_done(); }
   const Head& head() const { return parser_.get().base(); }
   boost::beast::http::verb method() const { return parser_.get().method(); }
   bool is_keep_alive() const { return parser_.get().keep_alive(); }
-  bool client_reads_chunks() const;  // HTTP/1.1
+  // Whether the client can read a chunked response, as every HTTP/1.1 client can.
+  bool client_reads_chunks() const;
   std::optional<std::uint64_t> content_length() const;
-  // The bytes of the body that have been parsed; the caller may move them.
+  // The parsed bytes of the body, except those that the caller has moved out.
   std::string& body() { return parser_.get().body(); }
 
  private:
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -13,11 +13,11 @@
 namespace beast_http = boost::beast::http;
 
 // Half of the budget is reserved for responses.
-std::size_t headroom(const memory::MemoryBudget& budget) { return budget.size() / 2; }
+std::size_t headroom_for_responses(const memory::MemoryBudget& budget) { return budget.size() / 2; }
 
 }  // namespace
 
-void RequestReader::begin(double now) { pace_.begin(now); }
+void RequestReader::begin(Seconds now) { receive_rate_.begin(now); }
 
 RequestReader::Result RequestReader::read(std::string& input) {
   if (!parser_) parser_.emplace();
@@ -25,51 +25,51 @@
   bool begins_upload = false;
   while (!bytes.empty() && !parser_->is_done() && !begins_upload) {
     const RequestParser::Event event = parser_->parse(bytes);
-    if (event == RequestParser::Event::kHead) handle_head();
-    if (event == RequestParser::Event::kBody) begins_upload = handle_body();
+    if (event == RequestParser::Event::kHeadComplete) handle_head();
+    if (event == RequestParser::Event::kBodyProgress) begins_upload = handle_body();
     if (event == RequestParser::Event::kNeedsMore) break;
   }
   input.erase(0, input.size() - bytes.size());
-  if (begins_upload) return Result::kUpload;
+  if (begins_upload) return Result::kUploadStarted;
   if (parser_->is_done()) return Result::kComplete;
   if (input.size() > RequestParser::kMaxHeadBytes) throw RequestError(kHeaderFieldsTooLarge);
   if (!upload_ || !upload_->is_full()) return Result::kNeedsMore;
-  pace_.pause(timing::now());
+  receive_rate_.pause(timing::now());
   return Result::kPaused;
 }
 
 void RequestReader::handle_head() {
   const RequestParser::Head& head = parser_->head();
-  pace_.on_head(timing::now());
+  receive_rate_.on_head(timing::now());
   client_reads_chunks_ = parser_->client_reads_chunks();
   is_keep_alive_ = parser_->is_keep_alive();
   body_reservation_ = memory::MemoryReservation(server_.body_budget);
   RequestValidator::check_framing(head);
-  if (RequestValidator::path_of(head) == "/api") {
-    request_.emplace(server_.validator.read(head));
+  if (RequestValidator::parse_path(head) == "/api") {
+    request_.emplace(server_.validator.parse_api_request(head));
     request_class_ = request_->balancer_request.request_class;
     server_.check_not_in_flight(request_->client_request_id);
   }
   const std::uint64_t length =
       std::min<std::uint64_t>(parser_->content_length().value_or(0), memory::kMaxBufferedBodyBytes);
-  if (!body_reservation_.grow_to(length, headroom(server_.body_budget))) {
+  if (!body_reservation_.grow_to(length, headroom_for_responses(server_.body_budget))) {
     throw RequestError(kServiceUnavailable, "no memory to spare");
   }
   if (boost::beast::iequals(head[beast_http::field::expect], "100-continue")) callbacks_.send_continue();
 }
 
-// Takes parsed bytes of the body. Returns whether an upload begins.
+// Handles bytes of the body that have been parsed. Returns whether an upload begins.
 bool RequestReader::handle_body() {
   std::string& body = parser_->body();
-  if (upload_ || !request_) {  // discarded: the response will be 404
-    pace_.add_body_bytes(body.size());
+  if (upload_ || !request_) {  // a body without request_ is discarded: the response will be 404
+    receive_rate_.add_body_bytes(body.size());
     if (upload_) upload_->write(body);
     body.clear();
     return false;
   }
-  pace_.set_body_bytes(body.size());
+  receive_rate_.set_body_bytes(body.size());
   const std::size_t buffered = std::min(body.size(), memory::kMaxBufferedBodyBytes);
-  if (!body_reservation_.grow_to(buffered, headroom(server_.body_budget))) {
+  if (!body_reservation_.grow_to(buffered, headroom_for_responses(server_.body_budget))) {
     throw RequestError(kServiceUnavailable);
   }
   if (body.size() < memory::kMaxBufferedBodyBytes || parser_->is_done()) return false;
@@ -118,9 +118,9 @@
   body_reservation_ = {};
 }
 
-double RequestReader::too_slow_at() const {
-  const bool waits_for_server = !pace_.is_in_head() && upload_ && upload_->is_full();
-  return waits_for_server ? std::numeric_limits<double>::infinity() : pace_.too_slow_at();
+Seconds RequestReader::receive_deadline() const {
+  const bool waits_for_server = !receive_rate_.is_in_head() && upload_ && upload_->is_full();
+  return waits_for_server ? std::numeric_limits<Seconds>::infinity() : receive_rate_.receive_deadline();
 }
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -1,4 +1,4 @@
-// Reads one client's requests from the bytes of its connection.
+// Reads requests from the bytes that arrive on a client's connection.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,9 @@
 #include <string_view>
 #include <utility>
 
+#include "asterdrift/seconds.h"
 #include "node/dispatch/messages.h"
-#include "node/downstream/receive_pace.h"
+#include "node/downstream/receive_rate_monitor.h"
 #include "node/downstream/request_error.h"
 #include "node/downstream/request_parser.h"
 #include "node/downstream/server_state.h"
@@ -19,61 +20,64 @@
 
 namespace asterdrift::node::downstream {
 
-// Validates a request as soon as its head is complete, and rejects invalid ones without reading their bodies.
-// Buffers small bodies, and streams large ones to the dispatcher while they arrive.
+// Validates a request when its head is complete, and rejects an invalid request without reading its body.
+// Small bodies are buffered; a large body is an upload, which is streamed to the dispatcher while it arrives.
 class RequestReader {
  public:
   enum class Result {
-    kNeedsMore,  // bytes
-    kPaused,     // until the server has taken more of the upload
-    kUpload,     // the request is to be dispatched; its body follows by later reads
-    kComplete    // the request, or its upload
+    kNeedsMore,      // the request is incomplete
+    kPaused,         // nothing is read until the server has taken more bytes of the upload
+    kUploadStarted,  // the request has to be dispatched now; later reads stream the rest of its body
+    kComplete        // the request, or its upload, is complete
   };
 
   struct Callbacks {
-    std::function<void()> send_continue;  // the client expects 100 Continue
-    std::function<void()>
-        on_upload_resumed;  // more of an upload may be read; later, never from within read()
+    // The client expects a "100 Continue" response.
+    std::function<void()> send_continue;
+    // More of a paused upload can be read. Called from the event loop, never from within read().
+    std::function<void()> on_upload_resumed;
   };
 
   // server has to outlive the reader.
   explicit RequestReader(ServerState& server) : server_(server) {}
 
-  // Before the first read().
+  // To be called before the first read().
   void set_callbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
 
-  // A request begins to arrive.
-  void begin(double now);
-  // Reads from `input`, and removes what it has read. Throws RequestError.
+  // Called when a request begins to arrive.
+  void begin(Seconds now);
+  // Reads from `input`, and removes the bytes that have been read. Throws RequestError.
   Result read(std::string& input);
-  // Releases the memory of the request. An upload is truncated.
+  // Releases the memory of the request. An unfinished upload is truncated.
   void release();
 
-  // Of a complete request or an upload.
-  std::string_view path() const { return RequestValidator::path_of(parser_->head()); }
+  // Valid for a complete request, and for one whose upload has started.
+  std::string_view path() const { return RequestValidator::parse_path(parser_->head()); }
   boost::beast::http::verb method() const { return parser_->method(); }
-  const std::optional<dispatch::DownstreamRequest>& api_request() const { return request_; }  // to /api
-  // The request to be dispatched, with the bytes of its body that have arrived.
+  // Empty unless the request's path is /api.
+  const std::optional<dispatch::DownstreamRequest>& api_request() const { return request_; }
+  // Moves the request out, with the bytes of its body that have arrived.
   dispatch::DownstreamRequest take_api_request();
   bool has_body() { return !parser_->body().empty(); }
-  // After the request has been dispatched without an upload.
+  // To be called when a request without an upload is dispatched.
   void release_parser() { parser_.reset(); }
-  // After the last byte of an upload.
+  // To be called after the last byte of an upload.
   void finish_upload();
 
-  // Of the last request whose head was complete.
+  // Properties of the last request whose head has been complete.
   bool is_keep_alive() const { return is_keep_alive_; }
   bool client_reads_chunks() const { return client_reads_chunks_; }
-  // Index of the class of a valid request to /api, until it is cleared.
+  // The index of the class of the last valid request to /api, until it is cleared.
   const std::optional<std::size_t>& request_class() const { return request_class_; }
   void clear_request_class() { request_class_.reset(); }
 
-  // How quickly the request arrives. Times in seconds on the steady clock.
-  double began_at() const { return pace_.began_at(); }
-  void resume(double now) { pace_.resume(now); }
-  bool is_paused() const { return pace_.is_paused(); }
-  // When the request will be too slow, if no more of it arrives; infinity while it waits for the server.
-  double too_slow_at() const;
+  // How quickly the request arrives. All times are on the steady clock.
+  Seconds began_at() const { return receive_rate_.began_at(); }
+  void resume(Seconds now) { receive_rate_.resume(now); }
+  bool is_paused() const { return receive_rate_.is_paused(); }
+  // When the request will be too slow if no more of it arrives; see ReceiveRateMonitor. Infinity while the
+  // upload waits for the server.
+  Seconds receive_deadline() const;
 
  private:
   void handle_head();
@@ -84,10 +88,10 @@
   ServerState& server_;
   Callbacks callbacks_;
   std::optional<RequestParser> parser_;
-  std::optional<dispatch::DownstreamRequest> request_;  // until it is dispatched
+  std::optional<dispatch::DownstreamRequest> request_;  // to /api, until it is dispatched
   memory::MemoryReservation body_reservation_;
-  std::shared_ptr<memory::BodyStream> upload_;  // the rest of the body
-  ReceivePace pace_;
+  std::shared_ptr<memory::BodyStream> upload_;  // receives the rest of a large body
+  ReceiveRateMonitor receive_rate_;
   bool is_keep_alive_ = false, client_reads_chunks_ = false;
   std::optional<std::size_t> request_class_;
 };
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -11,22 +11,26 @@
 #include <optional>
 #include <utility>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::node::downstream {
 namespace {
 
 namespace beast_http = boost::beast::http;
 using Head = RequestParser::Head;
 
-constexpr double kMaxTimeout = 600;                // s
-constexpr std::size_t kMaxHeaderValueBytes = 128;  // bytes of an id or a key
-constexpr std::size_t kMaxTargetBytes = 2048;      // bytes
-constexpr std::size_t kMaxLengthDigits = 18;
+constexpr Seconds kMaxTimeout = 600;
+constexpr std::size_t kMaxHeaderValueBytes = 128;  // for interpreted headers except Request-Info
+constexpr std::size_t kMaxTargetBytes = 2048;
+constexpr std::size_t kMaxContentLengthDigits = 18;
 
-// Headers that the node interprets, at most one of each. All but the timeout are forwarded to the server.
+// Headers that the node interprets. A request may have each of them at most once. All of them except
+// Request-Timeout-Ms are forwarded to the server.
 constexpr std::array kInterpretedHeaders = {"Request-Id",         "Request-Class",   "Tenant",
                                             "Request-Timeout-Ms", "Idempotency-Key", "Client-Retry",
                                             "Work-Hint",          "Request-Info"};
-// Other headers that are forwarded. The rest have no meaning to servers, or apply to one connection.
+// Other headers that are forwarded. All remaining headers have no meaning to servers, or apply to the
+// client's connection only.
 constexpr std::array kForwardedHeaders = {"Host", "Cookie", "Content-Type"};
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
@@ -38,7 +42,7 @@
   return value;
 }
 
-std::shared_ptr<upstream::UpstreamRequest> forwarded_request(const Head& head) {
+std::shared_ptr<upstream::UpstreamRequest> to_upstream_request(const Head& head) {
   auto request = std::make_shared<upstream::UpstreamRequest>();
   std::string& out = request->head;
   out.append(view(head.method_string())).append(" ").append(view(head.target())).append(" HTTP/1.1\r\n");
@@ -54,7 +58,7 @@
   return request;
 }
 
-// Rejects headers that this node and a server might interpret differently.
+// Rejects requests with headers that this node and a server might interpret differently.
 void check_interpreted_headers(const Head& head) {
   for (const char* name : kInterpretedHeaders) {
     if (head.count(name) > 1) throw RequestError(kBadRequest, "a header twice");
@@ -65,20 +69,20 @@
   if (head.target().size() > kMaxTargetBytes) throw RequestError(kUriTooLong, "target too long");
 }
 
-double read_timeout(const Head& head, double timeout_of_class) {
-  if (head.count("Request-Timeout-Ms") == 0) return timeout_of_class;
+Seconds parse_timeout(const Head& head, Seconds class_timeout) {
+  if (head.count("Request-Timeout-Ms") == 0) return class_timeout;
   const auto ms = parse_integer(view(head["Request-Timeout-Ms"]));
   if (!ms || *ms == 0) throw RequestError(kBadRequest, "bad Request-Timeout-Ms");
   return std::min(static_cast<double>(*ms) / 1000, kMaxTimeout);
 }
 
-std::optional<double> read_announced_work(const Head& head) {
+std::optional<Seconds> parse_announced_work(const Head& head) {
   if (head.count("Work-Hint") == 0) return std::nullopt;
   const auto us = parse_integer(view(head["Work-Hint"]));
   return us ? std::optional(static_cast<double>(*us) / 1e6) : std::nullopt;
 }
 
-std::unordered_map<std::string, std::size_t> index_of(const std::vector<std::string>& names) {
+std::unordered_map<std::string, std::size_t> to_indexes(const std::vector<std::string>& names) {
   std::unordered_map<std::string, std::size_t> indexes;
   for (const std::string& name : names) indexes.emplace(name, indexes.size());
   return indexes;
@@ -86,26 +90,26 @@
 
 }  // namespace
 
-std::string_view RequestValidator::path_of(const Head& head) {
+std::string_view RequestValidator::parse_path(const Head& head) {
   const std::string_view target = view(head.target());
   return target.substr(0, target.find('?'));
 }
 
 RequestValidator::RequestValidator(const config::NodeConfig& config)
-    : class_indexes_(index_of(config.classes)),
-      tenant_indexes_(index_of(config.tenants)),
+    : class_indexes_(to_indexes(config.classes)),
+      tenant_indexes_(to_indexes(config.tenants)),
       classes_(config.settings.classes) {}
 
-// Prevents request smuggling, that is a second request hidden in a body. Beast 1.74 rejects a length next to
-// "chunked", but accepts a length next to any other encoding, a list of encodings that ends in "chunked", and
-// the same length twice.
+// Prevents request smuggling, in which a body hides a second request. Beast 1.74 rejects a Content-Length
+// together with the Transfer-Encoding "chunked", but it accepts a Content-Length together with any other
+// encoding, a list of encodings that ends in "chunked", and two equal Content-Length headers.
 void RequestValidator::check_framing(const Head& head) {
   const std::size_t lengths = head.count(beast_http::field::content_length);
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
   if (lengths + encodings > 1) throw RequestError(kBadRequest, "more than one length");
   if (lengths == 1) {
     const std::string_view length = view(head[beast_http::field::content_length]);
-    if (length.empty() || length.size() > kMaxLengthDigits || !parse_integer(length)) {
+    if (length.empty() || length.size() > kMaxContentLengthDigits || !parse_integer(length)) {
       throw RequestError(kBadRequest, "bad Content-Length");
     }
   }
@@ -114,37 +118,39 @@
   }
 }
 
-dispatch::DownstreamRequest RequestValidator::read(const Head& head) const {
+dispatch::DownstreamRequest RequestValidator::parse_api_request(const Head& head) const {
   check_interpreted_headers(head);
   dispatch::DownstreamRequest out;
   out.client_request_id = std::string(view(head["Request-Id"]));
   if (out.client_request_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
-  out.balancer_request.request_class = read_class(head);
-  out.balancer_request.tenant = read_tenant(head);
+  out.balancer_request.request_class = parse_class(head);
+  out.balancer_request.tenant = parse_tenant(head);
   const balancer::RequestClass& request_class = classes_[out.balancer_request.request_class];
-  check_class(head, request_class);
-  out.timeout = read_timeout(head, request_class.timeout);
-  out.balancer_request.announced_work = read_announced_work(head);
+  check_matches_class(head, request_class);
+  out.timeout = parse_timeout(head, request_class.timeout);
+  out.balancer_request.announced_work = parse_announced_work(head);
   out.balancer_request.is_client_retry = head["Client-Retry"] == "1";
-  out.upstream_request = forwarded_request(head);
+  out.upstream_request = to_upstream_request(head);
   return out;
 }
 
-std::size_t RequestValidator::read_class(const Head& head) const {
+std::size_t RequestValidator::parse_class(const Head& head) const {
   const auto it = class_indexes_.find(std::string(view(head["Request-Class"])));
   if (it == class_indexes_.end()) throw RequestError(kBadRequest, "unknown Request-Class");
   return it->second;
 }
 
-std::size_t RequestValidator::read_tenant(const Head& head) const {
+std::size_t RequestValidator::parse_tenant(const Head& head) const {
   if (tenant_indexes_.empty()) return 0;
   const auto it = tenant_indexes_.find(std::string(view(head["Tenant"])));
   if (it == tenant_indexes_.end()) throw RequestError(kBadRequest, "unknown Tenant");
   return it->second;
 }
 
-// Requests whose method or key does not match their class could be executed twice by a server.
-void RequestValidator::check_class(const Head& head, const balancer::RequestClass& request_class) const {
+// Rejects requests whose method or idempotency key does not match their class: a server could execute such a
+// request twice.
+void RequestValidator::check_matches_class(const Head& head,
+                                           const balancer::RequestClass& request_class) const {
   const bool is_idempotent = request_class.idempotency == balancer::Idempotency::kIdempotent;
   const bool needs_key = request_class.idempotency == balancer::Idempotency::kIdempotencyKey;
   if (head.method() != (is_idempotent ? beast_http::verb::get : beast_http::verb::post)) {
--- a/node/downstream/request_validator.h
+++ b/node/downstream/request_validator.h
@@ -1,4 +1,4 @@
-// Validates the framing and the headers of requests.
+// Validates the framing and the headers of requests, and parses requests to /api.
 #pragma once
 
 #include <string>
@@ -13,25 +13,27 @@
 
 namespace asterdrift::node::downstream {
 
-// Knows the names of classes and tenants in the configuration.
+// Depends on the classes and tenants of the configuration.
 class RequestValidator {
  public:
   explicit RequestValidator(const config::NodeConfig& config);
 
-  // Throws RequestError for a head that does not define the end of its message unambiguously.
+  // Throws RequestError if the head does not define the end of its message unambiguously.
   static void check_framing(const RequestParser::Head& head);
 
-  // A request to /api, without its body and received_at. Throws RequestError.
-  dispatch::DownstreamRequest read(const RequestParser::Head& head) const;
+  // Parses the head of a request to /api. The result has no body and no received_at. Throws RequestError.
+  dispatch::DownstreamRequest parse_api_request(const RequestParser::Head& head) const;
 
-  static std::string_view path_of(const RequestParser::Head& head);
+  // The target of the request without its query.
+  static std::string_view parse_path(const RequestParser::Head& head);
 
  private:
   using Indexes = std::unordered_map<std::string, std::size_t>;
 
-  std::size_t read_class(const RequestParser::Head& head) const;
-  std::size_t read_tenant(const RequestParser::Head& head) const;
-  void check_class(const RequestParser::Head& head, const balancer::RequestClass& request_class) const;
+  std::size_t parse_class(const RequestParser::Head& head) const;
+  std::size_t parse_tenant(const RequestParser::Head& head) const;
+  void check_matches_class(const RequestParser::Head& head,
+                           const balancer::RequestClass& request_class) const;
 
   Indexes class_indexes_, tenant_indexes_;  // by name
   std::vector<balancer::RequestClass> classes_;
--- a/node/downstream/response_sender.h
+++ b/node/downstream/response_sender.h
@@ -1,4 +1,4 @@
-// Writes responses to a client's socket.
+// Sends responses to a client.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -10,24 +10,24 @@
 
 namespace asterdrift::node::downstream {
 
-// Is notified of the response that its sender writes. No call follows after ResponseSender::stop().
+// Is notified of the progress of a response. No call follows after ResponseSender::stop().
 class ResponseSenderOwner {
  public:
   virtual ~ResponseSenderOwner() = default;
 
-  // Neither the owner nor its sender is destroyed while this exists.
+  // Neither the owner nor its sender is destroyed while the result exists.
   virtual std::shared_ptr<void> keep_alive() = 0;
   // Runs a step of the sender, and handles its exceptions.
   virtual void guard(const std::function<void()>& step) = 0;
-  // The client has taken all bytes so far, and more are about to be written.
+  // All bytes so far have been written to the socket, and more are about to be written.
   virtual void on_response_progress() = 0;
   virtual void on_response_written() = 0;
-  // The server has sent no complete body.
+  // The server has not sent the complete body.
   virtual void on_response_truncated() = 0;
   virtual void on_write_failed() = 0;
 };
 
-// Writes one response at a time. A streamed body is forwarded as it arrives.
+// Sends one response at a time. A streamed body is forwarded while it arrives.
 class ResponseSender {
  public:
   // owner and socket have to outlive the sender.
@@ -35,10 +35,10 @@
       : owner_(owner), socket_(socket) {}
 
   void send(dispatch::DownstreamResponse&& response, const ResponseWriter::Options& options);
-  // Abandons the response.
+  // Abandons the current response.
   void stop();
 
-  // Whether the client has been sent bytes that it has not taken yet.
+  // Whether a write to the socket is pending.
   bool is_writing() const { return is_writing_; }
 
  private:
@@ -49,8 +49,8 @@
   ResponseSenderOwner& owner_;
   boost::asio::ip::tcp::socket& socket_;
   ResponseWriter writer_;
-  bool is_sending_ = false;  // a response
-  bool is_writing_ = false;  // a piece of it
+  bool is_sending_ = false;  // the response is not complete
+  bool is_writing_ = false;  // a piece of the response is being written
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/response_writer.cpp
+++ b/node/downstream/response_writer.cpp
@@ -3,6 +3,7 @@
 #include <cstdio>
 #include <utility>
 
+#include "asterdrift/seconds.h"
 #include "node/http/body.h"
 #include "node/http/response.h"
 
@@ -13,13 +14,14 @@
   return response.streamed_body && !response.content_length;
 }
 
-std::string retry_after_header(double seconds) {
+std::string format_retry_after(Seconds retry_after) {
   std::array<char, 32> text{};
-  std::snprintf(text.data(), text.size(), "Retry-After: %.3f\r\n", seconds);
+  std::snprintf(text.data(), text.size(), "Retry-After: %.3f\r\n", retry_after);
   return text.data();
 }
 
-std::string head_of(const dispatch::DownstreamResponse& response, bool close_connection, bool is_chunked) {
+std::string format_head(const dispatch::DownstreamResponse& response, bool close_connection,
+                        bool is_chunked) {
   std::string head = http::status_line(response.status);
   if (is_chunked) {
     head += "Transfer-Encoding: chunked\r\n";
@@ -28,23 +30,23 @@
     head += "Content-Length: " + std::to_string(length) + "\r\n";
   }
   if (!response.content_type.empty()) head += "Content-Type: " + response.content_type + "\r\n";
-  if (response.retry_after > 0) head += retry_after_header(response.retry_after);
+  if (response.retry_after > 0) head += format_retry_after(response.retry_after);
   if (close_connection) head += "Connection: close\r\n";
   return head + "\r\n";
 }
 
 }  // namespace
 
-bool ends_with_connection(const dispatch::DownstreamResponse& response, bool client_reads_chunks) {
+bool ends_at_connection_close(const dispatch::DownstreamResponse& response, bool client_reads_chunks) {
   return has_unknown_length(response) && !client_reads_chunks;
 }
 
 void ResponseWriter::begin(dispatch::DownstreamResponse&& response, const Options& options) {
   is_chunked_ = has_unknown_length(response) && options.client_reads_chunks;
-  piece_ = head_of(response, options.close_connection, is_chunked_);
+  piece_ = format_head(response, options.close_connection, is_chunked_);
   response_ = std::move(response);
   if (options.head_only) response_.body.clear();
-  has_body_ = true;
+  is_first_piece_ = true;
   stream_ = std::exchange(response_.streamed_body, nullptr);
 }
 
@@ -55,11 +57,11 @@
 
 std::array<boost::asio::const_buffer, 2> ResponseWriter::buffers() const {
   return {boost::asio::buffer(piece_),
-          has_body_ ? boost::asio::buffer(response_.body) : boost::asio::const_buffer()};
+          is_first_piece_ ? boost::asio::buffer(response_.body) : boost::asio::const_buffer()};
 }
 
 ResponseWriter::Next ResponseWriter::next() {
-  has_body_ = false;
+  is_first_piece_ = false;
   if (!stream_) return Next::kComplete;
   if (!stream_->is_empty()) {
     piece_ = is_chunked_ ? http::encode_chunk(stream_->read()) : stream_->read();
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -1,4 +1,4 @@
-// The bytes of a response that is being written to a client. No I/O.
+// Formats the responses to a client. Does no I/O.
 #pragma once
 
 #include <array>
@@ -11,20 +11,20 @@
 
 namespace asterdrift::node::downstream {
 
-// Yields the bytes of one response after the other, each in pieces.
+// Provides the bytes of one response at a time, in pieces.
 class ResponseWriter {
  public:
   enum class Next {
-    kPiece,      // there are more bytes to write
-    kWait,       // for more bytes from the server
-    kTruncated,  // the server has not sent the complete body
-    kComplete    // all has been written
+    kPiece,      // another piece has to be written
+    kWait,       // there is no piece until the server sends more bytes
+    kTruncated,  // the server has ended the body before it was complete
+    kComplete    // the complete response has been written
   };
 
   struct Options {
-    bool close_connection = false;     // sends Connection: close
-    bool client_reads_chunks = false;  // else a body of unknown length ends with the connection
-    bool head_only = false;            // the response to a HEAD request
+    bool close_connection = false;     // adds a "Connection: close" header
+    bool client_reads_chunks = false;  // if not, a body of unknown length ends when the connection is closed
+    bool head_only = false;            // for the response to a HEAD request
   };
 
   void begin(dispatch::DownstreamResponse&& response, const Options& options);
@@ -32,23 +32,23 @@
 
   // The current piece.
   std::array<boost::asio::const_buffer, 2> buffers() const;
-  // After the current piece has been written.
+  // Goes on to the next piece. To be called when the current piece has been written.
   Next next();
 
-  // Of a streamed response until it is complete; else null.
+  // The source of a streamed body until the body is complete; null otherwise.
   const std::shared_ptr<memory::BodyStream>& stream() const { return stream_; }
-  // The client has disconnected: the rest of the stream is not read.
+  // The client has disconnected, and the rest of a streamed body is not read.
   void abandon();
 
  private:
   std::string piece_;                      // the head, or bytes of a streamed body
-  dispatch::DownstreamResponse response_;  // its body is written behind the head
-  bool has_body_ = false;
+  dispatch::DownstreamResponse response_;  // its body is written after the head
+  bool is_first_piece_ = false;            // the head and, unless it is streamed, the body
   bool is_chunked_ = false;
   std::shared_ptr<memory::BodyStream> stream_;
 };
 
-// Whether only the end of the connection marks the end of the response.
-bool ends_with_connection(const dispatch::DownstreamResponse& response, bool client_reads_chunks);
+// Whether the end of the response is marked only by the end of the connection.
+bool ends_at_connection_close(const dispatch::DownstreamResponse& response, bool client_reads_chunks);
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -24,18 +24,22 @@
 using telemetry::log_line;
 using timing::now;
 
-constexpr double kIdleTimeout = 20;  // s without a request
-// s; for a head, from the connection's start if it is its first. Operators allow 3 s for a client without a
-// complete request.
-constexpr double kReadTimeout = 2.4;
-constexpr double kWriteTimeout = 5;     // s for a client to take any byte of its response
-constexpr double kCloseTimeout = 1;     // s for a client to close after its last response
-constexpr int kMaxAcceptsPerWait = 64;  // so that other sockets are served in between
-constexpr int kBacklog = 4096;          // connections that the system queues
-constexpr auto kOverduePeriod = std::chrono::milliseconds(100);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
-
-// Calls `visit` for the connections of a list while it returns true. A visit may remove its connection.
+// The maximum time between a response and the next request.
+constexpr Seconds kIdleTimeout = 20;
+// The maximum time for a request's head. For the first request of a connection, the time counts from the
+// connection's start. Operators allow a client at most 3 s without a complete request.
+constexpr Seconds kReadTimeout = 2.4;
+// The maximum time for which a client may take no byte of its response.
+constexpr Seconds kWriteTimeout = 5;
+// The maximum time for a client to close its connection after the last response.
+constexpr Seconds kCloseTimeout = 1;
+// Bounds the time for which other sockets are not served.
+constexpr int kMaxAcceptsPerWait = 64;
+constexpr int kListenBacklog = 4096;
+constexpr auto kTimeoutCheckPeriod = std::chrono::milliseconds(100);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // prevents a busy loop
+
+// Calls `visit` for each connection of a list until `visit` returns false. `visit` may remove the connection.
 template <class Visit>
 void for_each_while(ConnectionList& list, const Visit& visit) {
   for (auto it = list.begin(); it != list.end();) {
@@ -44,11 +48,12 @@
   }
 }
 
-// Closes the connections that have been in a list for longer than `limit` seconds.
+// Calls `close` for the connections that have been in the list for longer than `max_age`. Connections are in
+// the order in which they entered the list.
 template <class Close>
-void close_older(ConnectionList& list, double limit, const Close& close) {
+void close_older(ConnectionList& list, Seconds max_age, const Close& close) {
   for_each_while(list, [&](Connection& connection) {
-    const bool is_older = now() - connection.state_since() > limit;
+    const bool is_older = now() - connection.state_since() > max_age;
     if (is_older) close(connection);
     return is_older;
   });
@@ -64,9 +69,9 @@
       acceptor_(io),
       accept_timer_(io),
       capacity_timer_(io),
-      overdue_timer_(io) {
+      timeout_timer_(io) {
   bind(config.listen_address, is_shared_address);
-  close_overdue();
+  close_timed_out_connections();
 }
 
 void Server::bind(const tcp::endpoint& address, bool is_shared) {
@@ -74,16 +79,17 @@
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   if (is_shared) {
     using reuse_port = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
-    error_code refused;  // then the address is this process's alone, as it would be without the option
-    acceptor_.set_option(reuse_port(true), refused);
+    // If the system refuses the option, the address belongs to this process alone.
+    error_code ignored;
+    acceptor_.set_option(reuse_port(true), ignored);
   }
-  net::enable_arrival_timestamps(acceptor_.native_handle());  // the accepted connections inherit it
+  net::enable_arrival_timestamps(acceptor_.native_handle());  // inherited by accepted connections
   acceptor_.bind(address);
   acceptor_.non_blocking(true);
 }
 
 void Server::listen() {
-  acceptor_.listen(kBacklog);
+  acceptor_.listen(kListenBacklog);
   state_.is_listening = true;
   accept();
 }
@@ -91,12 +97,13 @@
 void Server::set_max_connections(std::size_t connections) {
   const bool has_more_capacity = connections > state_.max_connections;
   state_.max_connections = connections;
-  enforce_limit();
+  enforce_connection_limit();
   if (has_more_capacity) resume_accepting();
 }
 
-// At the limit, an inactive connection is closed for each new one. Where there is none, new connections wait
-// in the listen backlog until a connection closes or may be evicted.
+// When the connection limit is reached, an inactive connection is closed for each new one. If there is no
+// inactive connection, new connections wait in the listen backlog until a connection closes or may be
+// evicted.
 void Server::accept() {
   if (is_accepting_ || !state_.is_listening || !acceptor_.is_open()) return;
   is_accepting_ = true;
@@ -111,11 +118,11 @@
   });
 }
 
-// Returns whether more may be accepted now; if not, accepting is resumed later.
+// Returns whether more connections may be accepted now. If not, accepting goes on later.
 bool Server::accept_one() {
   if (state_.connections >= state_.max_connections) {
     if (!net::has_waiting_connection(acceptor_.native_handle())) {
-      is_full_ = false;
+      is_waiting_for_capacity_ = false;
       accept();
       return false;
     }
@@ -131,12 +138,12 @@
     accept();
     return false;
   }
-  if (error) {  // probably no descriptor left
+  if (error) {  // probably there is no file descriptor left
     accept_later();
     return false;
   }
-  is_full_ = false;
-  adopt(std::move(socket));
+  is_waiting_for_capacity_ = false;
+  start_connection(std::move(socket));
   return true;
 }
 
@@ -154,7 +161,7 @@
   });
 }
 
-void Server::adopt(tcp::socket socket) {
+void Server::start_connection(tcp::socket socket) {
   last_accepted_at_ = now();
   error_code error;
   socket.set_option(tcp::no_delay(true), error);
@@ -167,60 +174,61 @@
   }
 }
 
-// A client waits, and no connection can be evicted now.
+// Called if a client is waiting and no connection can be evicted now.
 void Server::wait_for_capacity() {
-  const double next = evictor_.next_eviction_at();
-  if (std::isinf(next) && !is_full_) log_connection_limit();
-  is_full_ = true;
-  enforce_limit_at(next);
+  const Seconds next = evictor_.next_eviction_at();
+  if (std::isinf(next) && !is_waiting_for_capacity_) log_connection_limit();
+  is_waiting_for_capacity_ = true;
+  enforce_connection_limit_at(next);
 }
 
 void Server::resume_accepting() {
-  if (is_full_) accept();
+  if (is_waiting_for_capacity_) accept();
 }
 
-// Closes inactive connections beyond the limit, now or once they may be evicted.
-void Server::enforce_limit() {
+// Closes inactive connections in excess of the limit, now or as soon as they may be evicted.
+void Server::enforce_connection_limit() {
   while (state_.has_too_many_connections()) {
-    if (!evictor_.evict_one(ConnectionEvictor::Reason::kLimitIsLower)) break;
+    if (!evictor_.evict_one(ConnectionEvictor::Reason::kLimitLowered)) break;
   }
-  if (state_.has_too_many_connections()) enforce_limit_at(evictor_.next_eviction_at());
+  if (state_.has_too_many_connections()) enforce_connection_limit_at(evictor_.next_eviction_at());
 }
 
-void Server::enforce_limit_at(double time) {
+void Server::enforce_connection_limit_at(Seconds time) {
   if (std::isinf(time)) return;
   capacity_timer_.expires_at(timing::to_time_point(time));
   capacity_timer_.async_wait([this](const error_code& error) {
     if (error) return;
-    enforce_limit();
+    enforce_connection_limit();
     resume_accepting();
   });
 }
 
-void Server::close_overdue() {
+void Server::close_timed_out_connections() {
   const auto close_if_idle = [](Connection& connection) { connection.close_if_idle(); };
   const auto close_if_slow = [](Connection& connection) {
     return connection.close_if_slow(kReadTimeout), true;
   };
   ConnectionLists& lists = state_.lists;
-  close_older(lists.fresh, kReadTimeout, close_if_idle);
+  close_older(lists.awaiting_first_request, kReadTimeout, close_if_idle);
   close_older(lists.idle, kIdleTimeout, close_if_idle);
   close_older(lists.closing, kCloseTimeout, [](Connection& connection) { connection.close(); });
   for_each_while(lists.reading, close_if_slow);
   for_each_while(lists.uploading, close_if_slow);
   for_each_while(lists.uploading,
                  [](Connection& connection) { return connection.close_if_client_disconnected(), true; });
-  for_each_while(lists.writing,
-                 [](Connection& connection) { return connection.close_if_stuck(kWriteTimeout), true; });
-  overdue_timer_.expires_after(kOverduePeriod);
-  overdue_timer_.async_wait([this](const error_code& error) {
-    if (!error) close_overdue();
+  for_each_while(lists.writing, [](Connection& connection) {
+    return connection.close_if_write_stalled(kWriteTimeout), true;
+  });
+  timeout_timer_.expires_after(kTimeoutCheckPeriod);
+  timeout_timer_.async_wait([this](const error_code& error) {
+    if (!error) close_timed_out_connections();
   });
 }
 
 void Server::close_idle_connections() {
   state_.closes_after_responses = true;
-  for (const ConnectionList* list : {&state_.lists.fresh, &state_.lists.idle}) {
+  for (const ConnectionList* list : {&state_.lists.awaiting_first_request, &state_.lists.idle}) {
     const ConnectionList all = *list;
     for (const std::shared_ptr<Connection>& connection : all) connection->close_if_idle();
   }
@@ -243,12 +251,12 @@
   for (error_code error; state_.is_listening && !error;) {
     tcp::socket socket(state_.io);
     acceptor_.accept(socket, error);
-    if (!error) adopt(std::move(socket));
+    if (!error) start_connection(std::move(socket));
   }
   error_code ignored;
   acceptor_.close(ignored);
   accept_timer_.cancel();
-  is_full_ = false;
+  is_waiting_for_capacity_ = false;
 }
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -1,4 +1,4 @@
-// Accepts clients' connections, and enforces their limits.
+// Accepts clients' connections, and enforces limits on their number and on their times.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,52 +7,55 @@
 #include <cstddef>
 #include <cstdint>
 
+#include "asterdrift/seconds.h"
 #include "node/downstream/connection_evictor.h"
 #include "node/downstream/server_state.h"
 
 namespace asterdrift::node::downstream {
 
-// Owns the listening socket and, by state, all connections.
+// Owns the listening socket and the lists of connections.
 class Server {
  public:
-  // Binds the address. A shared one may be bound by other processes of this node too. Throws
-  // boost::system::system_error where it is not available.
+  // Binds the address. A shared address can also be bound by other processes of this node. Throws
+  // boost::system::system_error if the address is not available.
   Server(boost::asio::io_context& io, const config::NodeConfig& config,
          dispatch::RequestDispatcher& dispatcher, memory::MemoryBudget& body_budget,
          telemetry::Metrics& metrics, std::size_t max_connections, bool is_shared_address);
 
-  // Accepts connections from now on. Throws as above.
+  // Starts to accept connections. Throws boost::system::system_error.
   void listen();
   bool is_listening() const { return state_.is_listening; }
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Inactive connections beyond the limit are closed.
+  // Inactive connections in excess of the limit are closed.
   void set_max_connections(std::size_t connections);
 
-  // Graceful shutdown, step by step. First, /healthz responds 503; connections stay usable.
+  // The steps of a graceful shutdown. In the first step, /healthz responds 503, and connections stay usable.
   void begin_drain() { state_.is_draining = true; }
-  // Then responses end their connections. Idle ones stay open, and new ones are still accepted.
+  // From the second step, each response ends its connection. Idle connections stay open, and new ones are
+  // still accepted.
   void close_after_responses() { state_.closes_after_responses = true; }
-  // Leaves new connections to another process that listens on the address; this one goes on accepting those
-  // that are being established. listening_index: of the other process, see net::steer_new_connections().
-  // Returns whether the system can do it.
+  // Directs new connections to another process that listens on the address. This process goes on accepting
+  // connections that are being established. listening_index: the index of the other process's socket, see
+  // net::steer_new_connections(). Returns whether the system supports this.
   bool hand_over_new_connections(std::uint32_t listening_index);
-  // The other process has ended: this one accepts all connections.
+  // The other process has ended, and this one accepts all connections.
   void end_hand_over();
-  double last_accepted_at() const { return last_accepted_at_; }  // on the steady clock
-  // Accepts the connections in the listen backlog, and none after that.
+  // On the steady clock.
+  Seconds last_accepted_at() const { return last_accepted_at_; }
+  // Accepts the connections in the listen backlog, and closes the listening socket.
   void stop_accepting();
-  // Idle connections are closed too.
+  // Closes idle connections, in addition to the effect of close_after_responses().
   void close_idle_connections();
-  // Incomplete requests are rejected.
+  // Rejects requests that have not arrived completely.
   void reject_partial_requests();
 
   std::size_t connections() const { return state_.connections; }
-  // Connections whose response is awaited or being written.
+  // The number of connections whose response is awaited or being written.
   std::size_t busy_connections() const { return state_.busy_connections; }
-  // Requests without a complete response.
+  // The number of requests without a complete response.
   std::size_t pending_requests() const { return state_.pending_requests; }
-  // Whether this process can serve, as /healthz and /ready report.
+  // Whether this process can serve requests, as /healthz and /ready report.
   bool is_ready() const { return state_.is_ready(); }
 
  private:
@@ -61,20 +64,21 @@
   bool accept_one();
   void accept_later();
   void log_connection_limit() const;
-  void adopt(boost::asio::ip::tcp::socket socket);
+  void start_connection(boost::asio::ip::tcp::socket socket);
   void wait_for_capacity();
   void resume_accepting();
-  void enforce_limit();
-  void enforce_limit_at(double time);
-  void close_overdue();
+  void enforce_connection_limit();
+  void enforce_connection_limit_at(Seconds time);
+  void close_timed_out_connections();
 
   ServerState state_;
   ConnectionEvictor evictor_;
   bool is_accepting_ = false;  // a wait for the next connection is pending
-  bool is_full_ = false;       // at the limit, and a client waits for a connection that can be evicted
-  double last_accepted_at_ = 0;
+  // The connection limit is reached, a client is waiting, and no connection could be evicted.
+  bool is_waiting_for_capacity_ = false;
+  Seconds last_accepted_at_ = 0;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer accept_timer_, capacity_timer_, overdue_timer_;
+  boost::asio::steady_timer accept_timer_, capacity_timer_, timeout_timer_;
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/server_state.cpp
+++ b/node/downstream/server_state.cpp
@@ -3,14 +3,14 @@
 namespace asterdrift::node::downstream {
 
 bool is_busy(ConnectionState state) {
-  return state == ConnectionState::kUploading || state == ConnectionState::kWaiting ||
+  return state == ConnectionState::kUploading || state == ConnectionState::kAwaitingResponse ||
          state == ConnectionState::kWriting;
 }
 
-ConnectionList* ConnectionLists::of(ConnectionState state) {
+ConnectionList* ConnectionLists::find(ConnectionState state) {
   switch (state) {
-    case ConnectionState::kFresh:
-      return &fresh;
+    case ConnectionState::kAwaitingFirstRequest:
+      return &awaiting_first_request;
     case ConnectionState::kIdle:
       return &idle;
     case ConnectionState::kReading:
@@ -21,8 +21,8 @@
       return &writing;
     case ConnectionState::kClosing:
       return &closing;
-    case ConnectionState::kNew:
-    case ConnectionState::kWaiting:
+    case ConnectionState::kInitial:
+    case ConnectionState::kAwaitingResponse:
     case ConnectionState::kClosed:
       return nullptr;
   }
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -1,4 +1,4 @@
-// State that the connections of the downstream server share.
+// The state that the downstream server shares with its connections.
 #pragma once
 
 #include <array>
@@ -24,29 +24,30 @@
 
 // What a client's connection is doing.
 enum class ConnectionState {
-  kNew,
-  kFresh,      // has sent nothing yet
-  kIdle,       // has had a response and sent nothing since
-  kReading,    // a request is arriving
-  kUploading,  // the dispatcher has the request, and its body is still arriving
-  kWaiting,    // for the response
-  kWriting,    // the response is being written
-  kClosing,    // has had its last response
+  kInitial,               // before the connection's start
+  kAwaitingFirstRequest,  // the client has sent nothing yet
+  kIdle,                  // the client has sent nothing since the last response
+  kReading,               // a request is arriving
+  kUploading,             // the request has been dispatched, and its body is still arriving
+  kAwaitingResponse,      // the request has been dispatched and has arrived completely
+  kWriting,               // the response is being written
+  kClosing,               // the last response has been written, and the client has not closed yet
   kClosed
 };
 
 // Whether a response is awaited or being written.
 bool is_busy(ConnectionState state);
 
-// Connections by state, each list in the order in which they entered it.
+// Connections by state. Each list is in the order in which the connections entered the state.
 struct ConnectionLists {
-  // Null for a state without a list.
-  ConnectionList* of(ConnectionState state);
+  // The list of a state; null if the state has none.
+  ConnectionList* find(ConnectionState state);
 
-  ConnectionList fresh, idle, reading, uploading, writing, closing;
+  ConnectionList awaiting_first_request, idle, reading, uploading, writing, closing;
 };
 
-// What the server and its connections know of each other.
+// Lets connections use the server's dependencies and limits, and holds the server's lists and counts of
+// connections, which connections update themselves.
 struct ServerState {
   // An eighth of the connections is reserved for clients that do not await a response.
   static constexpr std::size_t kReservedConnectionsDivisor = 8;
@@ -62,15 +63,15 @@
         max_connections(max_connections),
         on_connection_inactive(std::move(on_inactive)) {}
 
-  // Whether this process can serve, as /healthz and /ready report.
+  // Whether this process can serve requests, as /healthz and /ready report.
   bool is_ready() const { return dispatcher.is_ready() && is_listening && !is_draining; }
-  // Whether so many connections await responses that further requests are rejected.
+  // Whether further requests are rejected because too many connections await responses.
   bool is_overloaded() const {
     return busy_connections > max_connections - max_connections / kReservedConnectionsDivisor;
   }
   bool has_too_many_connections() const { return connections > max_connections; }
-  // Throws RequestError where a request with this client's id is in flight: a second one might run twice, or
-  // its response might go to the wrong client.
+  // Throws RequestError if a request with this Request-Id is in flight: if a second one were dispatched, the
+  // request might run twice, or a response might go to the wrong client.
   void check_not_in_flight(const std::string& client_request_id) const {
     if (dispatcher.is_in_flight(client_request_id)) throw RequestError(kConflict, "this Request-Id is open");
   }
@@ -81,18 +82,18 @@
   telemetry::Metrics& metrics;
   const RequestValidator validator;
   std::size_t max_connections;
-  // Called when a connection has closed, or has entered a state in which it may be evicted. The connection
-  // may be in the middle of an operation.
+  // Called when a connection has been closed, or has entered a state in which it may be evicted. The
+  // connection may be in the middle of an operation.
   const std::function<void()> on_connection_inactive;
 
   ConnectionLists lists;
   std::size_t connections = 0;
   std::size_t busy_connections = 0;  // see is_busy()
-  std::size_t pending_requests = 0;  // without a complete response
+  std::size_t pending_requests = 0;  // dispatched requests without a complete response
   bool is_listening = false;
   bool is_draining = false;
-  bool closes_after_responses = false;             // responses end their connections
-  std::array<char, 16UL * 1024> read_buffer = {};  // shared, since the process has one thread
+  bool closes_after_responses = false;             // each response ends its connection
+  std::array<char, 16UL * 1024> read_buffer = {};  // shared, because the process has one thread
 };
 
 }  // namespace asterdrift::node::downstream
--- a/tests/node/client_departure_test.cpp
+++ b/tests/node/client_departure_test.cpp
@@ -1,4 +1,4 @@
-// Clients that depart before, while and after their requests are forwarded.
+// Clients that disconnect before, while or after their requests are forwarded.
 #include <chrono>
 #include <string>
 #include <utility>
@@ -26,7 +26,8 @@
   }
 }
 
-TEST(ClientDeparture, IsNoticedBehindPipelinedBytes) {
+// Unread pipelined bytes must not hide the disconnection.
+TEST(ClientDeparture, IsNoticedAfterPipelinedBytes) {
   for (const std::size_t pipelined_bytes : {std::size_t{100}, std::size_t{20000}, std::size_t{500000}}) {
     for (const Departure departure : kCloseAndReset) {
       const SlowAcceptingServer slow_server;
@@ -41,8 +42,8 @@
   }
 }
 
-// A pipelined request is buffered and served. More bytes than the buffer takes end the connection after the
-// response.
+// A pipelined request is buffered and served. If pipelined bytes exceed the buffer, the connection is closed
+// after the current response.
 TEST(ClientDeparture, PipelinedRequestIsBufferedAndServed) {
   LongTimeoutFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request(request("close", "", "one"));
@@ -60,8 +61,9 @@
   EXPECT_EQ(fixture.metric("upstream_requests"), 2);
 }
 
-// The request is in the system's accept queue, or unread on a connection that the node has accepted.
-TEST(ClientDeparture, RequestThatIsUnreadAtDepartureIsNotForwarded) {
+// When the client disconnects, its request is unread, either on a connection in the system's accept queue or
+// on one that the node has accepted.
+TEST(ClientDeparture, RequestUnreadAtDepartureIsNotForwarded) {
   for (const bool is_accepted : {false, true}) {
     for (const std::size_t pipelined_bytes : {std::size_t{0}, std::size_t{40000}}) {
       LongTimeoutFixture fixture;
@@ -87,7 +89,8 @@
   }
 }
 
-// The server reads nothing, so that the client's end of the connection is unread behind the upload.
+// The server reads nothing, which pauses the upload. The client's disconnection follows bytes of the upload
+// that the node has not read.
 TEST(ClientDeparture, UploadOfDepartedClientIsNotForwardedCompletely) {
   for (const bool may_cancel : {false, true}) {
     LongTimeoutFixture fixture;
@@ -114,13 +117,14 @@
   }
 }
 
-// The node sees the end of the connection although it reads nothing from it.
+// The node notices that the client has disconnected although it reads nothing from the client's connection.
 TEST(ClientDeparture, BlockedUploadOfDepartedClientFreesItsServer) {
   for (const Departure departure : kCloseAndReset) {
     const SlowAcceptingServer slow_server;
     LongTimeoutFixture fixture;
     fixture.config.may_cancel = false;
-    // More than the node reads, and little enough that the client's end arrives behind it.
+    // The body has more bytes than the node reads, and few enough that the end of the client's connection
+    // still arrives after them.
     TestSocket client = fixture.start_with_waiting_request(
         slow_server, request_head("close") + "Content-Length: 1000000\r\n\r\n" + std::string(175000, 'u'));
     depart(client, departure);
@@ -129,7 +133,7 @@
   }
 }
 
-// A request that has been sent completely is cancelled only where that is allowed.
+// A request that has been sent to a server completely is cancelled only if the configuration allows it.
 TEST(ClientDeparture, ForwardedRequestIsCancelledOnlyIfAllowed) {
   for (const bool may_cancel : {false, true}) {
     LongTimeoutFixture fixture;
@@ -142,7 +146,8 @@
       continue;
     }
     EXPECT_TRUE(server.is_idle());
-    server.send(ok_response());  // has no client any more; the connection serves the next request
+    // This response no longer has a client. The upstream connection can serve the next request.
+    server.send(ok_response());
     TestSocket next_client = fixture.connect_client();
     next_client.send(request("close", "", "next", "r2"));
     TestSocket next_server = server.is_idle(200ms) ? fixture.servers[0].accept() : std::move(server);
--- a/tests/node/client_request_test.cpp
+++ b/tests/node/client_request_test.cpp
@@ -1,4 +1,4 @@
-// Clients' requests: deadlines, pipelining and what is rejected.
+// Requests of clients: deadlines, cancellation, pipelining, and rejection of invalid requests.
 #include <string>
 #include <utility>
 #include <vector>
@@ -8,25 +8,26 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(ClientRequest, GetsAResponseBeforeItsTimeout) {
+TEST(ClientRequest, GetsErrorResponseBeforeItsTimeout) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
   const Stopwatch stopwatch;
   TestSocket server = fixture.forward(client, request("close", "Request-Timeout-Ms: 700\r\n"));
-  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 50")) << "failed, not cut off";
-  EXPECT_LT(stopwatch.seconds(), 1.2) << "0.7 s, and more on a busy machine";
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 50"))
+      << "the response is an error, not the end of the connection";
+  EXPECT_LT(stopwatch.seconds(), 1.2) << "the timeout is 0.7 s; the rest allows for a busy machine";
   EXPECT_TRUE(server.closed_by_peer()) << "the attempt is cancelled";
   EXPECT_TRUE(client.is_idle()) << "one final response";
 }
 
-TEST(ClientRequest, IsCancelledWhenItsClientDeparts) {
+TEST(ClientRequest, IsCancelledWhenItsClientDisconnects) {
   NodeFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request();
   client.close();
   const Stopwatch stopwatch;
   EXPECT_TRUE(server.closed_by_peer());
-  EXPECT_LT(stopwatch.seconds(), 1.9) << "long before the attempt's timeout";
+  EXPECT_LT(stopwatch.seconds(), 1.9) << "the attempt ends long before its timeout";
 }
 
 TEST(ClientRequest, PipelinedRequestIsServedNext) {
@@ -44,8 +45,9 @@
   EXPECT_TRUE(contains(client.read_message(), "second"));
 }
 
-// Two requests in flight with one id could run twice, or get each other's response.
-TEST(ClientRequest, IdThatIsInFlightIsRejected) {
+// If two requests with one Request-Id were in flight, the request could run twice, or each client could get
+// the response of the other.
+TEST(ClientRequest, RequestIdThatIsInFlightIsRejected) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   TestSocket first_client = fixture.connect_client(), second_client = fixture.connect_client();
@@ -60,7 +62,7 @@
   first_client.send(request("mark"));
   server.read_message();
   server.send(ok_response());
-  EXPECT_TRUE(contains(first_client.read_message(), " 200 ")) << "it is no longer in flight";
+  EXPECT_TRUE(contains(first_client.read_message(), " 200 ")) << "the Request-Id is no longer in flight";
 }
 
 TEST(ClientRequest, InvalidRequestIsRejected) {
@@ -72,7 +74,7 @@
       {"400", "nonsense\r\n\r\n"},
       {"400", "POST /api HTTP/1.1\r\nno colon\r\n\r\n"},
       {"431", "POST /api HTTP/1.1\r\nX: " + std::string(20000, 'x')},
-      {"431", "POST /api HTTP/1.1\r\n" + repeated("X: y\r\n", 4000)},  // short lines, an endless head
+      {"431", "POST /api HTTP/1.1\r\n" + repeated("X: y\r\n", 4000)},  // a head of many short lines
       {"404", "GET /apis HTTP/1.1\r\n\r\n"},
       {"400", request("other")},
       {"400", request("mark", "Request-Timeout-Ms: soon\r\n")},
@@ -80,7 +82,7 @@
       {"400", request("mark", "Request-Timeout-Ms: 0\r\n")},
       {"400", with_content_length(start + "Request-Class: close\r\nTenant: nobody\r\n", "")},
       {"400", with_content_length(start + "Request-Class: mark\r\nTenant: acme\r\n",
-                                  "")},  // without its idempotency key
+                                  "")},  // without an idempotency key
       {"400", "GET /api HTTP/1.1\r\nRequest-Id: r\r\nRequest-Class: close\r\nTenant: acme\r\n\r\n"},
       {"400", with_content_length("POST /api HTTP/1.1\r\nRequest-Class: close\r\nTenant: acme\r\n", "")},
       {"400", request("close", "Idempotency-Key: k\r\n")},
@@ -88,7 +90,7 @@
       {"400", request("close", "Tenant: acme\r\n")},
       {"400", request("close", "X-Folded: a\r\n b\r\n")},
       {"400", "GET /api HTTP/1.1\r\n folded\r\n\r\n"},
-      // The end of the message is ambiguous: a second request may be smuggled inside the first.
+      // The end of these messages is ambiguous, so that a second request could be smuggled inside the first.
       {"400", request_head("close") + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"},
       {"400", request_head("close") + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n"},
       {"400", request_head("close") + "Transfer-Encoding: identity\r\nContent-Length: 5\r\n\r\nabcde"},
--- a/tests/node/connection_limit_test.cpp
+++ b/tests/node/connection_limit_test.cpp
@@ -1,4 +1,4 @@
-// Limits on connections, descriptors and memory, with many, idle and slow clients.
+// Limits on connections, file descriptors and memory, with clients that are many, idle or slow.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -18,7 +18,7 @@
   return clients;
 }
 
-// A client that has had a response and stays connected.
+// Returns a client that has received a response and stays connected.
 TestSocket connect_keep_alive_client(const NodeFixture& fixture) {
   TestSocket client = fixture.connect_client();
   client.send("GET /healthz HTTP/1.1\r\n\r\n");
@@ -26,10 +26,10 @@
   return client;
 }
 
-// How many clients' connections a node with max_sockets = 100 keeps open.
-constexpr int kMaxConnectionsOf100Sockets = 33;
+// The number of client connections that a node with max_sockets = 100 keeps open.
+constexpr int kMaxConnectionsWith100Sockets = 33;
 
-// A node with few sockets and one server.
+// A node that may open at most 100 sockets, and one server.
 struct FewSocketsFixture : NodeFixture {
   FewSocketsFixture() {
     config.max_sockets = 100;
@@ -44,17 +44,17 @@
   fixture.expect_served(client);
 }
 
-TEST(ConnectionLimit, SilentAndSlowConnectionsEndInThreeSeconds) {
+TEST(ConnectionLimit, SilentAndSlowConnectionsAreClosedWithinThreeSeconds) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   const Stopwatch stopwatch;
-  TestSocket silent = fixture.connect_client(), slow = fixture.connect_client(),
-             bodiless = fixture.connect_client();
-  slow.send("POST /api HTTP/1.1\r\nRequest-Id:");
-  bodiless.send(request_head("close") + "Content-Length: 100\r\n\r\nhalf");
+  TestSocket silent = fixture.connect_client(), with_partial_head = fixture.connect_client(),
+             with_partial_body = fixture.connect_client();
+  with_partial_head.send("POST /api HTTP/1.1\r\nRequest-Id:");
+  with_partial_body.send(request_head("close") + "Content-Length: 100\r\n\r\nhalf");
   EXPECT_TRUE(silent.closed_by_peer());
-  EXPECT_TRUE(contains(slow.read_message(), "HTTP/1.1 408 "));
-  EXPECT_TRUE(contains(bodiless.read_message(), "HTTP/1.1 408 "));
+  EXPECT_TRUE(contains(with_partial_head.read_message(), "HTTP/1.1 408 "));
+  EXPECT_TRUE(contains(with_partial_body.read_message(), "HTTP/1.1 408 "));
   EXPECT_LT(stopwatch.seconds(), 3);
 }
 
@@ -70,7 +70,8 @@
   fixture.expect_served(client);
 }
 
-// A connection is closed only for a client that waits: not once the last waiting one has been accepted.
+// Connections are evicted only while a client is waiting to be accepted, not after the last one has been
+// accepted.
 TEST(ConnectionLimit, NoConnectionIsEvictedWhileNoClientIsWaiting) {
   NodeFixture fixture;
   fixture.config.max_sockets = 100;
@@ -83,13 +84,13 @@
   EXPECT_EQ(fixture.metric("downstream_evictions.without_waiting_client"), 0);
 }
 
-// Clients whose requests have just begun to arrive hold all connections: one is closed after a moment, not
-// when its time for a request is over.
+// All connections are held by clients whose requests have just begun to arrive. One of these connections is
+// evicted after a short time, and not only at its read timeout.
 TEST(ConnectionLimit, ClientIsServedSoonWhilePartialRequestsHoldAllConnections) {
   FewSocketsFixture fixture;
-  fixture.node->suspend();  // so that it accepts all at once
+  fixture.node->suspend();  // so that the node accepts all connections at once
   std::vector<TestSocket> slow_clients;
-  for (int i = 0; i < kMaxConnectionsOf100Sockets; ++i) {
+  for (int i = 0; i < kMaxConnectionsWith100Sockets; ++i) {
     slow_clients.push_back(fixture.connect_client());
     slow_clients.back().send("POST /api HTTP/1.1\r\nRequest-Id:");
   }
@@ -100,7 +101,7 @@
   EXPECT_LT(stopwatch.seconds(), 1);
 }
 
-// What is closed to make room shows in the metrics and, by its number, in the log.
+// Evictions are counted in the metrics, and their number is logged.
 TEST(ConnectionLimit, EvictionsAreCountedAndLogged) {
   NodeFixture fixture;
   fixture.config.max_sockets = 100;
@@ -117,7 +118,7 @@
                        "downstream connections evicted: "));
 }
 
-// New connections take the place of idle keep-alive connections, not of one another.
+// New connections evict idle keep-alive connections, not other new connections.
 TEST(ConnectionLimit, NewConnectionsDoNotEvictEachOther) {
   FewSocketsFixture fixture;
   std::vector<TestSocket> keep_alive_clients;
@@ -130,7 +131,8 @@
   fixture.expect_served(client);
 }
 
-// Incomplete bodies occupy memory: past a fraction of the limit the node rejects requests.
+// Incomplete bodies occupy memory. When they occupy a certain fraction of the memory limit, the node rejects
+// requests.
 TEST(ConnectionLimit, RequestsAreRejectedWhenBodiesFillTheMemory) {
   NodeFixture fixture;
   fixture.config.max_memory_mb = 16;
@@ -165,7 +167,8 @@
   fixture.wait_until_ready();
   std::vector<TestSocket> idle_clients = connect_idle_clients(fixture, 40);
   idle_clients.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(contains(idle_clients.back().read_message(), " 200 ")) << "older idle connections were closed";
+  EXPECT_TRUE(contains(idle_clients.back().read_message(), " 200 "))
+      << "older idle connections have been closed";
   idle_clients.clear();
   TestSocket client = fixture.connect_client();
   fixture.expect_served(client);
@@ -177,7 +180,7 @@
 
 const char* name_of(ClientKind kind) { return kind == ClientKind::kSilent ? "silent" : "keep-alive"; }
 
-// A node with few descriptors, all of which its clients, servers and operators use.
+// A node with few file descriptors, all of which are used by clients, servers and admin connections.
 struct FewDescriptorsFixture : KeepAliveFixture {
   explicit FewDescriptorsFixture(bool awaits_watch) {
     config.awaits_watch = awaits_watch;
@@ -192,7 +195,7 @@
     announce_snapshot(7, entries);
     wait_until_ready();
   }
-  // Opens as many upstream connections as the node allows: it rejects the next request.
+  // Makes the node open as many upstream connections as it may: the node rejects the next request.
   void open_all_upstream_connections() {
     std::vector<TestSocket> clients;
     for (int i = 0;; ++i) {
@@ -209,14 +212,15 @@
     for (TestSocket& client : clients) EXPECT_TRUE(contains(client.read_message(), " 200 "));
     EXPECT_GE(upstream_connections.size(), 8U);
   }
-  // Opens far more client connections than the node allows, and idle admin connections.
+  // Opens far more client connections than the node allows, and 20 idle admin connections.
   void open_too_many_connections(ClientKind kind) {
     for (int i = 0; i < 2 * kFewDescriptors; ++i) {
       idle_clients.push_back(kind == ClientKind::kKeepAlive ? connect_keep_alive_client(*this)
                                                             : connect_client());
     }
-    for (int i = 0; i < 20; ++i) idle_operators.push_back(TestSocket::connect_to(node->admin_port()));
+    for (int i = 0; i < 20; ++i) idle_admin_clients.push_back(TestSocket::connect_to(node->admin_port()));
   }
+  // Sends a request that the listener has to serve, and returns the response that the client receives.
   std::string response_from(const ListeningSocket& listener) const {
     TestSocket client = connect_client();
     client.send(request_with_id("close", "new"));
@@ -225,8 +229,8 @@
     server.send(ok_response("heard"));
     return client.read_message();
   }
-  // Repeats an event until a metric becomes 1. The node reopens a watch that is silent for long, as while a
-  // test waits.
+  // Sends an event on the watch repeatedly until a metric becomes 1. Accepts a new watch if the node reopens
+  // it, which it does when a watch has been silent for long, as happens while a test waits.
   void announce_until_metric_is_1(const ListeningSocket& current_discovery, const std::string& event,
                                   const std::string& metric_name) {
     wait_until([&] {
@@ -240,7 +244,7 @@
     });
   }
 
-  std::vector<TestSocket> upstream_connections, idle_clients, idle_operators;
+  std::vector<TestSocket> upstream_connections, idle_clients, idle_admin_clients;
 };
 
 void expect_discovery_reachable(ClientKind kind, bool awaits_watch, bool discovery_moves) {
--- a/tests/node/departure_before_attempt_test.cpp
+++ b/tests/node/departure_before_attempt_test.cpp
@@ -1,4 +1,4 @@
-// No attempt begins for a client that has departed.
+// No attempt begins for a client that has disconnected.
 #include <string>
 
 #include "support/long_timeout_fixture.h"
@@ -7,7 +7,8 @@
 namespace asterdrift::node::testing {
 namespace {
 
-// The node reads the failure that permits a retry first, and the client's end of the connection after it.
+// An attempt fails in a way that permits a retry, and the client disconnects. The node handles the failure
+// before the disconnection.
 TEST(DepartureBeforeAttempt, NoRetryBegins) {
   for (const Departure departure : kAllDepartures) {
     for (const std::string failure : {"HTTP/1.1 503 Full\r\nNot-Started: 1\r\n", ""}) {
@@ -33,7 +34,8 @@
   }
 }
 
-TEST(DepartureBeforeAttempt, NoAttemptBeginsOnASlowlyEstablishedConnection) {
+// The client disconnects while the connection to the server is being established.
+TEST(DepartureBeforeAttempt, NoAttemptBeginsOnSlowlyEstablishedConnection) {
   for (const Departure departure : kAllDepartures) {
     const SlowAcceptingServer slow_server;
     KeepAliveFixture fixture;
--- a/tests/node/forwarding_test.cpp
+++ b/tests/node/forwarding_test.cpp
@@ -1,4 +1,4 @@
-// Requests are forwarded unchanged, and retried only where they have not run.
+// Requests are forwarded unchanged, and retried only if no server has run them.
 #include <string>
 #include <vector>
 
@@ -27,7 +27,7 @@
   server.send(ok_response("the answer"));
   EXPECT_TRUE(contains(client.read_message(), "\r\n\r\nthe answer"));
   client.send(request("close"));
-  EXPECT_TRUE(contains(server.read_message(), "question")) << "the same connection serves again";
+  EXPECT_TRUE(contains(server.read_message(), "question")) << "the upstream connection is reused";
   server.send(ok_response());
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
   EXPECT_TRUE(fixture.servers[0].is_idle());
@@ -57,10 +57,11 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-// After each of these the request may have run: an unsafe one is neither retried nor rejected.
+// After each of these responses the request may have run. An unsafe request is then neither retried nor
+// rejected.
 TEST(Forwarding, UnsafeRequestThatMayHaveRunFails) {
   const std::vector<std::string> responses = {
-      "",                                               // the connection just ends
+      "",                                               // the connection ends without a response
       "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx",  // truncated
       "SSH-2.0 nonsense\r\n\r\n",
       with_content_length("HTTP/1.1 500 Error\r\n", ""),
