--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// Admission control: how requests of a tenant are denied below, above and far above its rate limit.
+// Admission control: which requests of a tenant are denied below, above and far above its rate limit.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -18,7 +18,7 @@
 
 TEST(AdmissionControl, ExcessAboveRateLimitIsDeniedProportionally) {
   Settings settings = settings_with_quota(10);
-  settings.over_quota_priority_weight = 0;  // the rate limit does not rise
+  settings.over_quota_priority_weight = 0;  // keeps the rate limit from rising
   TestReplica replica(settings);
   replica.handle(0, make_snapshot(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
@@ -30,11 +30,11 @@
   EXPECT_GT(view.declined, 0);
 }
 
-TEST(AdmissionControl, AllAreDeniedAtHardLimit) {
+TEST(AdmissionControl, AllRequestsAreDeniedAtHardLimit) {
   TestReplica replica(settings_with_quota(10));
   replica.handle(0, make_snapshot(4));
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
-  const double requests = 400 * limit;  // within a second
+  const double requests = 400 * limit;  // within one second
   int admitted_at_end = 0;
   for (int i = 0; i < static_cast<int>(requests); ++i) {
     replica.now = i / requests;
@@ -45,7 +45,7 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).suppression_factor, 1);
 }
 
-TEST(AdmissionControl, WindowExpires) {
+TEST(AdmissionControl, SlidingWindowExpires) {
   TestReplica replica(settings_with_quota(10));
   replica.handle(0, make_snapshot(4));
   for (int i = 0; i < 500; ++i) replica.request("r" + std::to_string(i));
@@ -55,12 +55,12 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(1.65, 0).suppression_factor, 0);
 }
 
-// Returns how many were admitted.
-int send_at_once(TestReplica& replica, double time, int requests, const std::string& prefix) {
+// Sends requests at the same time, which succeed at once. Returns the number of admitted requests.
+int send_at_once(TestReplica& replica, Seconds time, int requests, const std::string& id_prefix) {
   int admitted = 0;
   for (int i = 0; i < requests; ++i) {
     replica.now = time;
-    const std::string id = prefix + std::to_string(i);
+    const std::string id = id_prefix + std::to_string(i);
     if (actions_of_type<SendAttempt>(replica.request(id)).empty()) continue;
     ++admitted;
     replica.end_attempt(id, Outcome::kSuccess);
@@ -68,7 +68,8 @@
   return admitted;
 }
 
-// For 100 ms: a burst within that time meets the factor from before it.
+// The suppression factor is cached for 100 ms: a burst within that time meets the factor from before the
+// burst.
 TEST(AdmissionControl, SuppressionFactorIsCached) {
   Settings settings = settings_with_quota(100);
   settings.over_quota_priority_weight = 0;
@@ -77,7 +78,8 @@
   const double limit = replica.balancer.tenant(0, 0).rate_limit;
   const int soft_limit = static_cast<int>(1.5 * limit);
   EXPECT_EQ(send_at_once(replica, 0, soft_limit, "fill"), soft_limit);
-  EXPECT_NEAR(send_at_once(replica, 0.01, 1000, "cached"), 667, 60);  // a third, as when the burst began
+  // As when the burst began, a third is denied.
+  EXPECT_NEAR(send_at_once(replica, 0.01, 1000, "cached"), 667, 60);
   const double factor = replica.balancer.tenant(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
   EXPECT_NEAR(send_at_once(replica, 0.12, 1000, "fresh"), 1000 * (1 - factor), 40);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// The concurrency limit: how many requests a replica has in flight.
+// The concurrency limit: how many requests a replica may have in flight.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,8 @@
 namespace asterdrift::balancer {
 namespace {
 
-// Sends a request whose body is still arriving. Returns its endpoint; empty where it was rejected.
+// Sends a request whose body is still arriving. Returns the address of its endpoint, which is
+// empty if the request was rejected.
 std::string request_with_arriving_body(TestReplica& replica, const std::string& id) {
   Request request;
   request.id = id;
@@ -52,7 +53,7 @@
   EXPECT_FALSE(actions_of_type<SendAttempt>(replica.request("after")).empty());
 }
 
-TEST(ConcurrencyLimit, ReusedSlotIsNotChargedForEarlierEndpoint) {
+TEST(ConcurrencyLimit, ReusedSlotDoesNotCountRequestsOfEarlierEndpoint) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(1));
   ASSERT_EQ(request_with_arriving_body(replica, "a"), "s0");
@@ -65,7 +66,7 @@
     EXPECT_FALSE(actions_of_type<SendAttempt>(replica.request("b" + std::to_string(i))).empty());
 }
 
-TEST(ConcurrencyLimit, StreamedResponseCountsFromItsFirstByte) {
+TEST(ConcurrencyLimit, StreamedResponseIsCountedUntilItsFirstByte) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(4));
   for (int i = 0; i < 200; ++i) {
@@ -78,7 +79,8 @@
   EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
 }
 
-// What is a small start for one replica would be an overload when all of them start together.
+// An initial limit that is small for one replica would overload the endpoints when all replicas start
+// together.
 TEST(ConcurrencyLimit, InitialLimitIsSplitAmongReplicas) {
   std::map<std::string, int> in_flight;  // by endpoint
   for (int index = 0; index < 8; ++index) {
@@ -96,8 +98,8 @@
   for (const auto& [address, requests] : in_flight) EXPECT_LE(requests, 16) << address;
 }
 
-// A rejection beyond the first tier wastes the work that was done in front of it.
-TEST(ConcurrencyLimit, RejectsNothingBeyondFirstTier) {
+// A rejection beyond the first tier wastes the work that earlier tiers have done for the request.
+TEST(ConcurrencyLimit, RequestsAreNotRejectedBeyondFirstTier) {
   Settings settings = settings_with_large_quota();
   settings.tier = 1;
   TestReplica replica(settings);
@@ -106,13 +108,13 @@
     EXPECT_EQ(actions_of_type<SendAttempt>(replica.request(std::to_string(i))).size(), 1U);
 }
 
-// One of many replicas, with its share of the fleet's requests.
+// The traffic of one of many replicas.
 struct ReplicaTraffic {
   int replicas;
   int endpoints;
-  double rate;      // requests/s of this replica, at random times
-  double latency;   // s; every fourth response takes 2.5 times as long, the others half of it
-  double duration;  // s
+  double requests_per_second;  // of this replica, at random times
+  Seconds latency;             // every fourth response takes 2.5 times as long, the others half as long
+  Seconds duration;
 };
 
 struct TrafficCounts {
@@ -120,18 +122,18 @@
   int rejected = 0;
 };
 
-class ReplicaTrafficRun {
+class ReplicaSimulation {
  public:
-  explicit ReplicaTrafficRun(const ReplicaTraffic& traffic)
-      : traffic_(traffic), replica_(settings_of(traffic)) {
+  explicit ReplicaSimulation(const ReplicaTraffic& traffic)
+      : traffic_(traffic), replica_(make_settings(traffic)) {
     replica_.handle(0, make_snapshot(traffic.endpoints));
   }
 
-  TrafficCounts run() {
-    double now = 0;
+  TrafficCounts simulate() {
+    Seconds now = 0;
     for (int number = 0; now < traffic_.duration; ++number) {
       const double uniform = (static_cast<double>(random_.next_state() >> 11) + 1) * 0x1.0p-53;
-      now += -std::log(uniform) / traffic_.rate;
+      now += -std::log(uniform) / traffic_.requests_per_second;
       end_due_attempts(now);
       replica_.now = now;
       const auto actions = replica_.request(std::to_string(number));
@@ -146,27 +148,27 @@
   struct OpenAttempt {
     std::string request_id;
     int attempt;
-    double elapsed;
+    Seconds elapsed;
     Outcome outcome;
   };
 
-  static Settings settings_of(const ReplicaTraffic& traffic) {
+  static Settings make_settings(const ReplicaTraffic& traffic) {
     Settings settings = basic_settings();
     settings.replica_count = traffic.replicas;
-    settings.tenants = {{traffic.rate * traffic.replicas}};
+    settings.tenants = {{traffic.requests_per_second * traffic.replicas}};
     return settings;
   }
 
   void send(const std::vector<Action>& actions, int number, int attempt) {
     for (const SendAttempt& send : actions_of_type<SendAttempt>(actions)) {
-      const double latency = traffic_.latency * (number % 4 == 0 ? 2.5 : 0.5);
-      const double elapsed = std::min(latency, send.timeout);
+      const Seconds latency = traffic_.latency * (number % 4 == 0 ? 2.5 : 0.5);
+      const Seconds elapsed = std::min(latency, send.timeout);
       const Outcome outcome = latency >= send.timeout ? Outcome::kTimedOut : Outcome::kSuccess;
       open_attempts_.emplace(replica_.now + elapsed, OpenAttempt{send.id, attempt, elapsed, outcome});
     }
   }
 
-  void end_due_attempts(double now) {
+  void end_due_attempts(Seconds now) {
     while (!open_attempts_.empty() && open_attempts_.begin()->first <= now) {
       replica_.now = open_attempts_.begin()->first;
       const OpenAttempt due = open_attempts_.begin()->second;
@@ -179,44 +181,51 @@
   ReplicaTraffic traffic_;
   TestReplica replica_;
   LinearCongruentialRandom random_{7};
-  std::multimap<double, OpenAttempt> open_attempts_;  // by their end
+  std::multimap<Seconds, OpenAttempt> open_attempts_;  // by end time
   TrafficCounts counts_;
 };
 
-TrafficCounts run(const ReplicaTraffic& traffic) { return ReplicaTrafficRun(traffic).run(); }
+TrafficCounts simulate(const ReplicaTraffic& traffic) { return ReplicaSimulation(traffic).simulate(); }
 
-// A replica with few requests must not take two at once for a queue.
+// A replica with little traffic must not take two requests that are in flight at the same time for a queue.
 TEST(ConcurrencyLimit, LowTrafficReplicaDoesNotRejectRandomBursts) {
-  const TrafficCounts counts = run({400, 60, 2.5, 0.3, 60});
+  const TrafficCounts counts = simulate(
+      {.replicas = 400, .endpoints = 60, .requests_per_second = 2.5, .latency = 0.3, .duration = 60});
   EXPECT_GT(counts.admitted, 120);
   EXPECT_LE(counts.rejected, counts.admitted / 50);
 }
 
-// With a limit of a request or so none of many replicas would ever reject, and an overload would never end.
+// If the limit of each of many replicas were about one request, no replica would ever reject, and an overload
+// would never end.
 TEST(ConcurrencyLimit, LowTrafficReplicaRejectsWhenResponsesAreTooSlow) {
-  const TrafficCounts counts = run({400, 60, 2.5, 5, 60});
+  const TrafficCounts counts =
+      simulate({.replicas = 400, .endpoints = 60, .requests_per_second = 2.5, .latency = 5, .duration = 60});
   EXPECT_GT(counts.rejected, 2 * counts.admitted);
 }
 
-// An endpoint's capacity is less than one request of each of many replicas: counted in whole requests, it
-// would make a replica with a few in flight reject the next while endpoints are idle.
-TEST(ConcurrencyLimit, ManyReplicasDoNotExhaustEachOthersCapacity) {
-  const TrafficCounts counts = run({48, 16, 12, 0.3, 60});
+// The share of each of many replicas in an endpoint's capacity is less than one request. Counted in whole
+// requests, it would make a replica with a few requests in flight reject the next one while endpoints are
+// idle.
+TEST(ConcurrencyLimit, ManyReplicasDoNotRejectWhileEndpointsAreIdle) {
+  const TrafficCounts counts =
+      simulate({.replicas = 48, .endpoints = 16, .requests_per_second = 12, .latency = 0.3, .duration = 60});
   EXPECT_GT(counts.admitted, 500);
   EXPECT_LE(counts.rejected, counts.admitted / 30);
 }
 
-// With few requests a replica learns its tier's usual latency late.
-TEST(ConcurrencyLimit, StartIsServedBeforeUsualLatencyIsLearned) {
+// A replica with few requests learns the usual latency of its tier late.
+TEST(ConcurrencyLimit, FirstRequestsAreServedBeforeUsualLatencyIsLearned) {
   for (const double rate : {6.0, 10.0}) {
-    const TrafficCounts counts = run({48, 16, rate, 0.7, 4});
+    const TrafficCounts counts = simulate(
+        {.replicas = 48, .endpoints = 16, .requests_per_second = rate, .latency = 0.7, .duration = 4});
     EXPECT_GT(counts.admitted, 20) << rate;
     EXPECT_LE(counts.rejected, 3) << rate;
   }
 }
 
 TEST(ConcurrencyLimit, ManyReplicasRejectWhenResponsesAreTooSlow) {
-  const TrafficCounts counts = run({48, 16, 12, 5, 60});
+  const TrafficCounts counts =
+      simulate({.replicas = 48, .endpoints = 16, .requests_per_second = 12, .latency = 5, .duration = 60});
   EXPECT_GT(counts.rejected, counts.admitted);
 }
 
--- a/tests/balancer/connect_failure_test.cpp
+++ b/tests/balancer/connect_failure_test.cpp
@@ -1,4 +1,4 @@
-// Connections that are not established: what they cost the retry budget.
+// Connect failures: which retries are charged to the retry budget.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +9,8 @@
 namespace asterdrift::balancer {
 namespace {
 
-// Sends a request whose first attempts have these outcomes and whose next one succeeds. Returns the attempts.
+// Sends a request whose first attempts have these outcomes and whose next attempt succeeds. Returns the
+// number of attempts.
 int count_attempts(TestReplica& replica, const std::string& id, const std::vector<Outcome>& outcomes) {
   int attempts = 0;
   auto actions = replica.request(id);
@@ -22,7 +23,8 @@
   return attempts;
 }
 
-// Beyond the first tier, where neither a rate limit nor a concurrency limit rejects these few requests.
+// A replica beyond the first tier, where neither a rate limit nor a concurrency limit rejects these few
+// requests.
 TestReplica replica_beyond_first_tier() {
   Settings settings = settings_with_large_quota();
   settings.tier = 1;
@@ -31,7 +33,7 @@
   return replica;
 }
 
-// The retry budget is a fifth of the requests; here each of them needs another connection.
+// The retry budget is a fifth of the requests. Here every request needs a second connection.
 TEST(ConnectFailure, IsNotChargedToRetryBudget) {
   TestReplica replica = replica_beyond_first_tier();
   for (int i = 0; i < 60; ++i) {
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -1,4 +1,4 @@
-// The indexes of the endpoint set, and subsets of them, compared with a plain list.
+// Compares the indexes of the endpoint set, and the subsets, with a list without indexes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,7 +27,7 @@
   return addresses(endpoints, slots);
 }
 
-std::vector<std::string> all_ready(const ReferenceEndpointList& list) {
+std::vector<std::string> ready_in_all_zones(const ReferenceEndpointList& list) {
   return list.ready_addresses([](const Endpoint&) { return true; });
 }
 
@@ -41,7 +41,7 @@
 
 double ready_weight(const ReferenceEndpointList& list) {
   double sum = 0;
-  for (const std::string& address : all_ready(list)) {
+  for (const std::string& address : ready_in_all_zones(list)) {
     const double weight = list.endpoints().at(address).weight;
     sum += weight > 0 ? weight : 1;
   }
@@ -49,7 +49,7 @@
 }
 
 void expect_indexes_match(const EndpointSet& endpoints, const ReferenceEndpointList& list, int own_zone) {
-  ASSERT_EQ(addresses(endpoints, endpoints.all()), all_ready(list));
+  ASSERT_EQ(addresses(endpoints, endpoints.all()), ready_in_all_zones(list));
   ASSERT_EQ(addresses(endpoints, endpoints.other_zones()), ready_in_other_zones(list, own_zone));
   for (int zone = 0; zone < 3; ++zone) {
     ASSERT_EQ(addresses(endpoints, endpoints.in_zone(zone)), ready_in_zone(list, zone));
@@ -62,10 +62,11 @@
   ASSERT_EQ(endpoints.view([](const EndpointRecord&) { return false; }).listed, list.endpoints().size());
 }
 
-// The subset's share of each group of endpoints: of its own zone and of the others, or of all.
+// The subset that a replica should use: a share of the endpoints of its own zone and a share of those of
+// other zones, or a share of all endpoints.
 std::vector<std::string> expected_subset(const Settings& settings, const ReferenceEndpointList& list,
                                          bool prefers_own_zone) {
-  std::vector<std::vector<std::string>> groups = {all_ready(list)};
+  std::vector<std::vector<std::string>> groups = {ready_in_all_zones(list)};
   if (prefers_own_zone)
     groups = {ready_in_zone(list, settings.zone), ready_in_other_zones(list, settings.zone)};
   std::vector<std::string> subset;
@@ -103,7 +104,7 @@
   std::size_t max_ready = 0;
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Settings settings =
-        settings_of_many_replicas(make_request_class(Idempotency::kIdempotent), seed % 2 == 0 ? 90 : 25);
+        settings_for_many_replicas(make_request_class(Idempotency::kIdempotent), seed % 2 == 0 ? 90 : 25);
     settings.replica_index = static_cast<int>(seed) * 3;
     settings.zone = 1;
     settings.cross_zone_cost = seed % 3 == 0 ? 0 : 0.02;
@@ -117,7 +118,7 @@
       endpoints.apply(update, step, 0, random);
       list.apply(update);
       subset.update(settings, endpoints);
-      max_ready = std::max(max_ready, all_ready(list).size());
+      max_ready = std::max(max_ready, ready_in_all_zones(list).size());
       expect_indexes_match(endpoints, list, settings.zone);
       expect_subset_matches(subset, endpoints, list, settings, random);
       if (HasFatalFailure()) return;
@@ -131,7 +132,7 @@
   Subset subset;
   support::Random random(1);
   endpoints.apply(make_fleet_snapshot(3000), 0, 0, random);
-  Settings settings = settings_of_many_replicas(make_request_class(Idempotency::kIdempotent), 1);
+  Settings settings = settings_for_many_replicas(make_request_class(Idempotency::kIdempotent), 1);
   settings.cross_zone_cost = 0.02;
   subset.update(settings, endpoints);
   ASSERT_EQ(subset.size(), 3000U);
@@ -157,7 +158,7 @@
   Subset subset;
   support::Random random(1);
   endpoints.apply(make_fleet_snapshot(7000), 0, 0, random);
-  subset.update(settings_of_many_replicas(), endpoints);
+  subset.update(settings_for_many_replicas(), endpoints);
   std::set<std::uint32_t> sampled;
   std::vector<std::uint32_t> examined;
   for (std::size_t i = 0; i < 7000 / kMaxExamined + 1; ++i) {
@@ -168,7 +169,7 @@
   EXPECT_EQ(sampled.size(), 7000U);
 }
 
-// Adds the attempts up.
+// Also adds the number of attempts to `attempts`.
 void expect_attempts_at_ready_endpoints(const std::vector<Action>& actions, const ReferenceEndpointList& list,
                                         std::size_t& attempts) {
   for (const SendAttempt& send : actions_of_type<SendAttempt>(actions)) {
@@ -182,7 +183,7 @@
 TEST(EndpointIndex, NoAttemptIsSentToDrainingOrRemovedEndpoint) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     Settings settings =
-        settings_of_many_replicas(make_request_class(Idempotency::kIdempotencyKey), seed % 2 == 0 ? 300 : 5);
+        settings_for_many_replicas(make_request_class(Idempotency::kIdempotencyKey), seed % 2 == 0 ? 300 : 5);
     settings.cross_zone_cost = seed > 2 ? 0.02 : 0;
     TestReplica replica(settings, seed);
     ReferenceEndpointList list;
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -1,4 +1,5 @@
-// Large fleets: what one update and one request cost, in counts, and that the right endpoints are found.
+// Large fleets: the cost of one update and of one request, in examined endpoints and allocated bytes, and the
+// endpoints that requests are sent to.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,10 +17,11 @@
 #include "support/random_event_stream.h"
 
 namespace {
-std::size_t allocated_bytes = 0;  // by anything in this program, since its start
+std::size_t allocated_bytes = 0;  // by the whole program, since its start
 }
 
-// Not inlined: GCC takes their parts for mismatched ones.
+// Not inlined, because GCC reports the inlined std::malloc() and std::free() as mismatched with the
+// operators.
 [[gnu::noinline]] void* operator new(std::size_t bytes) {
   allocated_bytes += bytes;
   if (void* memory = std::malloc(bytes)) return memory;
@@ -35,15 +37,17 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr std::size_t kMaxExaminedByRequest = 600;  // endpoints: 7 x kMaxExamined, and to count the request
-constexpr std::size_t kMaxExaminedByUpdate = 250;   // endpoints: in five indexes, and of a small subset
-constexpr std::size_t kMaxBytesOfUpdate = 20000;
+// 7 x kMaxExamined to search, and some more to count the request in flight.
+constexpr std::size_t kMaxEndpointsExaminedByRequest = 600;
+// In five indexes and in a small subset.
+constexpr std::size_t kMaxEndpointsExaminedByUpdate = 250;
+constexpr std::size_t kMaxBytesAllocatedByUpdate = 20000;
 
 std::uint64_t examined_endpoints(const TestReplica& replica) {
   return replica.balancer.endpoints(replica.now).examined;
 }
 
-// The digests are those of a balancer that examines every endpoint. They cover the log lines too.
+// The expected digests are those of a balancer that examines every endpoint. They cover the log lines too.
 TEST(EndpointScale, DecisionsMatchExhaustiveSearchInSmallFleets) {
   const std::map<std::size_t, std::uint64_t> expected_digests = {
       {7, 0xd521f1c56395b2adU}, {20, 0xdb595e1d83a5a9d5U}, {64, 0x74fd6b5fbbef9f5fU}};
@@ -62,25 +66,25 @@
 TEST(EndpointScale, UpdateCostIsIndependentOfFleetSize) {
   for (const int replicas : {2000, 4}) {
     for (const int endpoints : {700, 7000, 27000}) {
-      TestReplica replica(settings_of_many_replicas(make_request_class(Idempotency::kIdempotent), replicas));
+      TestReplica replica(settings_for_many_replicas(make_request_class(Idempotency::kIdempotent), replicas));
       replica.handle(0, make_fleet_snapshot(endpoints));
       for (int i = 0; i < 600; ++i) {
         const EndpointState state = i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady;
         const std::size_t bytes_before = allocated_bytes;
         const std::uint64_t examined_before = examined_endpoints(replica);
         replica.handle(1 + i, make_update(make_fleet_endpoint(i / 2 * 7919 % endpoints), state));
-        ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByUpdate)
+        ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxEndpointsExaminedByUpdate)
             << endpoints << " endpoints, update " << i;
-        ASSERT_LE(allocated_bytes - bytes_before, kMaxBytesOfUpdate)
+        ASSERT_LE(allocated_bytes - bytes_before, kMaxBytesAllocatedByUpdate)
             << endpoints << " endpoints, update " << i;
       }
     }
   }
 }
 
-// Of endpoints that have all just started, and hardly serve for a long time.
+// A replica whose endpoints have all just started and have hardly any capacity for a long time.
 TestReplica replica_with_starting_fleet(int replicas, int endpoints) {
-  Settings settings = settings_of_many_replicas(
+  Settings settings = settings_for_many_replicas(
       make_request_class(Idempotency::kIdempotencyKey, DedupScope::kZone), replicas);
   settings.tier = replicas == 4 ? 1 : 0;
   settings.slow_start_capacity = 0.01;
@@ -95,12 +99,12 @@
 void expect_bounded_search(TestReplica& replica, const std::string& id) {
   std::uint64_t examined_before = examined_endpoints(replica);
   std::vector<Action> actions = replica.request(id);
-  ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByRequest);
+  ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxEndpointsExaminedByRequest);
   for (int attempt = 0; !actions_of_type<SendAttempt>(actions).empty(); ++attempt) {
     replica.now += 0.001;
     examined_before = examined_endpoints(replica);
     actions = replica.end_attempt(id, Outcome::kConnectionReset, attempt);
-    ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxExaminedByRequest);
+    ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxEndpointsExaminedByRequest);
   }
 }
 
@@ -117,8 +121,8 @@
   }
 }
 
-TEST(EndpointScale, ViewCostIsIndependentOfFleetSize) {
-  TestReplica replica(settings_of_many_replicas());
+TEST(EndpointScale, MetricsCostIsIndependentOfFleetSize) {
+  TestReplica replica(settings_for_many_replicas());
   replica.handle(0, make_fleet_snapshot(27000));
   for (int i = 0; i < 400; ++i) {
     replica.now += 0.01;
@@ -127,10 +131,10 @@
   }
   const std::uint64_t examined_before = examined_endpoints(replica);
   EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 27000U);
-  EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the 27 of its subset
+  EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the 27 endpoints of its subset
 }
 
-// The endpoints to which requests of a replica go while all are healthy.
+// The addresses of the endpoints that a replica sends requests to while all endpoints are healthy.
 std::set<std::string> used_endpoints(TestReplica& replica, int requests = 200) {
   std::set<std::string> used;
   for (int i = 0; i < requests; ++i) {
@@ -154,8 +158,9 @@
   }
 }
 
-// Ends the first attempt of a request, and its retry.
-void end_request(TestReplica& replica, const std::string& id, bool at_faulty_endpoint, SubsetFault fault) {
+// Ends the first attempt of a request as the fault requires, and its retry with success.
+void end_request_with_fault(TestReplica& replica, const std::string& id, bool at_faulty_endpoint,
+                            SubsetFault fault) {
   if (!at_faulty_endpoint) {
     replica.end_attempt(id, Outcome::kSuccess);
     return;
@@ -169,56 +174,57 @@
   for (const SubsetFault fault :
        {SubsetFault::kFailing, SubsetFault::kUnresponsive, SubsetFault::kDraining}) {
     const std::string name = kSubsetFaultNames[static_cast<int>(fault)];
-    TestReplica replica(settings_of_many_replicas());
+    TestReplica replica(settings_for_many_replicas());
     replica.handle(0, make_fleet_snapshot(7000));
     const std::set<std::string> subset = used_endpoints(replica);
     ASSERT_EQ(subset.size(), 8U);
     if (fault == SubsetFault::kDraining) drain(replica, subset);
-    int at_faulty = 0;
-    int at_healthy = 0;
+    int sent_to_subset = 0;
+    int sent_to_others = 0;
     for (int i = 0; i < 400; ++i) {
       replica.now += 0.01;
       const std::string id = name + std::to_string(i);
       const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U) << name;
       const bool in_subset = subset.contains(sent[0].endpoint);
-      ++(in_subset ? at_faulty : at_healthy);
-      end_request(replica, id, in_subset, fault);
+      ++(in_subset ? sent_to_subset : sent_to_others);
+      end_request_with_fault(replica, id, in_subset, fault);
     }
-    EXPECT_LE(at_faulty, fault == SubsetFault::kDraining ? 0 : 60) << name;
-    EXPECT_GE(at_healthy, 340) << name;
+    EXPECT_LE(sent_to_subset, fault == SubsetFault::kDraining ? 0 : 60) << name;
+    EXPECT_GE(sent_to_others, 340) << name;
   }
 }
 
-// A fleet in which one endpoint of replica 0's subset (the first eight in the order of the hashes) shares its
-// cell and zone with one other endpoint, far from it in that order.
-struct FleetWithPair {
+// A fleet in which one endpoint of replica 0's subset shares its cell and zone with only one other endpoint.
+// The subset is the first eight endpoints in the order of the address hashes; the other endpoint is far from
+// them.
+struct FleetWithIsolatedPair {
   EndpointUpdate snapshot = make_fleet_snapshot(7000);
-  std::string in_subset, other;  // addresses
+  std::string address_in_subset, other_address;
 
-  FleetWithPair() {
+  FleetWithIsolatedPair() {
     std::vector<std::pair<std::uint64_t, std::size_t>> by_hash;
     for (std::size_t i = 0; i < snapshot.endpoints.size(); ++i) {
       by_hash.emplace_back(support::hash_text(snapshot.endpoints[i].address), i);
     }
     std::sort(by_hash.begin(), by_hash.end());
-    in_subset = move_to_cell_of_pair(by_hash[0].second);
-    other = move_to_cell_of_pair(by_hash[3500].second);
+    address_in_subset = move_to_cell_and_zone_of_pair(by_hash[0].second);
+    other_address = move_to_cell_and_zone_of_pair(by_hash[3500].second);
   }
 
  private:
-  std::string move_to_cell_of_pair(std::size_t index) {
+  std::string move_to_cell_and_zone_of_pair(std::size_t index) {
     Endpoint& endpoint = snapshot.endpoints[index];
     endpoint.cell = endpoint.zone = 9999;
     return endpoint.address;
   }
 };
 
-// Random samples would miss the only endpoint that may get the retry.
+// Random samples of the fleet would miss the only endpoint that may get the retry.
 TEST(EndpointScale, KeyedRetryFindsOnlyOtherEndpointOfItsCellOrZone) {
   for (const DedupScope scope : {DedupScope::kCell, DedupScope::kZone}) {
-    const FleetWithPair fleet;
-    TestReplica replica(settings_of_many_replicas(make_request_class(Idempotency::kIdempotencyKey, scope)));
+    const FleetWithIsolatedPair fleet;
+    TestReplica replica(settings_for_many_replicas(make_request_class(Idempotency::kIdempotencyKey, scope)));
     replica.handle(0, fleet.snapshot);
     int retries = 0;
     for (int i = 0; i < 400; ++i) {
@@ -226,13 +232,13 @@
       const std::string id = std::to_string(i);
       const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
       ASSERT_EQ(sent.size(), 1U);
-      if (sent[0].endpoint != fleet.in_subset) {
+      if (sent[0].endpoint != fleet.address_in_subset) {
         replica.end_attempt(id, Outcome::kSuccess);
         continue;
       }
       const auto retry = actions_of_type<SendAttempt>(replica.end_attempt(id, Outcome::kConnectionReset));
       if (retry.empty()) continue;  // the retry budget is used up
-      EXPECT_EQ(retry[0].endpoint, fleet.other);
+      EXPECT_EQ(retry[0].endpoint, fleet.other_address);
       replica.end_attempt(id, Outcome::kSuccess, 1);
       ++retries;
     }
@@ -240,9 +246,10 @@
   }
 }
 
-// One endpoint of many can be used: each request examines some, and the next one those that follow.
+// Only one of many endpoints has warmed up. Each request examines some of them, and the next request
+// continues with those that follow, until one of the requests finds it.
 TEST(EndpointScale, OnlyWarmEndpointIsFoundByLaterRequests) {
-  Settings settings = settings_of_many_replicas();
+  Settings settings = settings_for_many_replicas();
   settings.slow_start_capacity = 0.001;
   settings.slow_start_duration = 1e9;
   TestReplica replica(settings);
@@ -256,7 +263,7 @@
     const std::string id = std::to_string(i);
     const std::uint64_t examined_before = examined_endpoints(replica);
     const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
-    // Others are rejected before an endpoint is searched for.
+    // Requests that examine fewer endpoints are rejected before an endpoint is searched for.
     if (examined_endpoints(replica) - examined_before >= 4 * kMaxExamined) ++searches;
     if (sent.empty()) continue;
     replica.end_attempt(id, Outcome::kSuccess);
--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint selection: the less busy of two random candidates.
+// Endpoint selection: the less busy one of two random candidates.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -21,7 +21,7 @@
   EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// Also for a replica with nothing in flight, to which all endpoints look equally busy.
+// The weights count also for a replica with no requests in flight, to which all endpoints look equally busy.
 TEST(EndpointSelection, SelectionIsProportionalToWeight) {
   TestReplica replica(basic_settings());
   EndpointUpdate snapshot = make_snapshot(2);
--- a/tests/balancer/endpoint_set_test.cpp
+++ b/tests/balancer/endpoint_set_test.cpp
@@ -14,7 +14,7 @@
   return endpoint;
 }
 
-// Endpoints are replaced by others under new addresses all day.
+// Endpoints are continually replaced by endpoints with new addresses, so slots must be reused.
 TEST(EndpointSet, ReusesSlotsOfRemovedEndpoints) {
   EndpointSet endpoints;
   support::Random random(1);
@@ -24,13 +24,14 @@
     endpoints.finish_update();
   }
   EXPECT_LE(endpoints.size(), 5U);
-  for (int i = 1000; i < 2000; ++i) {  // the same with snapshots
+  for (int i = 1000; i < 2000; ++i) {  // likewise with snapshots
     endpoints.apply({EndpointUpdate::Form::kSnapshot, {make_endpoint(i)}}, i, 0, random);
   }
   EXPECT_LE(endpoints.size(), 5U);
 }
 
-// An attempt that ends after its endpoint was removed must not be counted for another endpoint.
+// The outcome of an attempt that ends after its endpoint was removed must not be counted for another
+// endpoint.
 TEST(EndpointSet, DoesNotReuseSlotWithRequestsInFlight) {
   EndpointSet endpoints;
   support::Random random(1);
--- a/tests/balancer/endpoint_update_test.cpp
+++ b/tests/balancer/endpoint_update_test.cpp
@@ -11,7 +11,7 @@
 
 using Addresses = std::set<std::string>;
 
-// The endpoints of 50 requests.
+// The addresses of the endpoints that 50 requests are sent to.
 Addresses used_endpoints(TestReplica& replica, const std::string& id_prefix) {
   Addresses used;
   for (int i = 0; i < 50; ++i) {
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -12,12 +12,13 @@
   settings.poll_within = 10;
   TestReplica replica(settings);
   EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(0, Started{})).size(), 1U);
-  double now = 0;
+  Seconds now = 0;
   for (int i = 0; i < 12; ++i) {
     const auto timers = actions_of_type<SetTimer>(replica.handle(now, make_watch_failure()));
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_GT(timers[0].at, now);
-    EXPECT_LE(timers[0].at, now + 5) << "within the time after which an update counts as notified";
+    EXPECT_LE(timers[0].at, now + 5)
+        << "within half of poll_within, after which an update counts as notified";
     now = timers[0].at;
     EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(now, TimerFired{timers[0].token})).size(), 1U);
   }
--- a/tests/balancer/final_response_test.cpp
+++ b/tests/balancer/final_response_test.cpp
@@ -17,7 +17,7 @@
   return replica;
 }
 
-// The orders in which an outcome and the client's departure can meet.
+// An attempt can end before or after its client disconnects.
 TEST(FinalResponse, IsGivenOnceInEveryOrderOfEvents) {
   for (const Outcome outcome : kFailureOutcomes) {
     for (const bool client_departs_first : {false, true}) {
@@ -37,7 +37,7 @@
         EXPECT_TRUE(replica.handle(1, RequestAborted{"r"}).empty());
       }
       EXPECT_TRUE(actions_of_type<SendAttempt>(actions).empty());
-      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "a repeated outcome";
+      EXPECT_TRUE(replica.end_attempt("r", outcome).empty()) << "a repeated outcome causes actions";
     }
   }
 }
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -10,15 +10,16 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kRequestRate = 50;  // requests/s
+constexpr double kRequestsPerSecond = 50;
 
-// Sends requests for some seconds; attempts at `faulty` end with an error, the others succeed. Returns how
-// many first attempts each endpoint got.
-std::map<std::string, int> count_first_attempts(TestReplica& replica, const std::string& faulty, double start,
-                                                double seconds, const std::string& id_prefix) {
+// Sends requests for `duration`. Attempts at the endpoint `faulty` end with an error, the others succeed.
+// Returns the number of first attempts by endpoint.
+std::map<std::string, int> count_first_attempts(TestReplica& replica, const std::string& faulty,
+                                                Seconds start, Seconds duration,
+                                                const std::string& id_prefix) {
   std::map<std::string, int> first_attempts;
-  for (int i = 0; i < static_cast<int>(seconds * kRequestRate); ++i) {
-    replica.now = start + i / kRequestRate;
+  for (int i = 0; i < static_cast<int>(duration * kRequestsPerSecond); ++i) {
+    replica.now = start + i / kRequestsPerSecond;
     const std::string id = id_prefix + std::to_string(i);
     auto sent = actions_of_type<SendAttempt>(replica.request(id));
     if (!sent.empty()) ++first_attempts[sent[0].endpoint];
@@ -30,7 +31,7 @@
   return first_attempts;
 }
 
-// An endpoint that fails at once has nothing in flight and looks the least busy of all.
+// An endpoint that fails at once has no requests in flight and would be preferred as the least busy one.
 TEST(OutlierDetection, FastFailingEndpointIsEjectedAndReadmitted) {
   TestReplica replica(settings_with_large_quota());
   replica.handle(0, make_snapshot(6));
@@ -40,7 +41,8 @@
   EXPECT_GT(after_recovery.at("s2"), 100);
 }
 
-// An endpoint slowed down by its load would stay overloaded with an equal part of the requests.
+// An endpoint that its load has slowed down would stay overloaded if it kept getting an equal share of the
+// requests.
 TEST(OutlierDetection, SlowEndpointGetsFewerRequests) {
   TestReplica replica(settings_with_large_quota());
   replica.handle(0, make_snapshot(4));
@@ -55,10 +57,11 @@
   }
   EXPECT_GT(attempts["s0"], 80);
   EXPECT_LT(attempts["s1"], 50);
-  EXPECT_GT(attempts["s1"], 3) << "it must be tried now and then, or it never recovers";
+  EXPECT_GT(attempts["s1"], 3) << "without an occasional request a slow endpoint never recovers";
 }
 
-// Attempts of a class that is not idempotent end only with the client's timeout.
+// Attempts of a request that is not idempotent end only with the client's timeout, so the endpoint has to be
+// avoided while they are still open.
 TEST(OutlierDetection, UnresponsiveEndpointIsAvoidedBeforeItsAttemptsEnd) {
   TestReplica replica(basic_settings(make_request_class(Idempotency::kNotIdempotent)));
   replica.handle(0, make_snapshot(4));
@@ -77,7 +80,8 @@
   EXPECT_LE(unanswered, 4);
 }
 
-// With a shared cause, judging each endpoint alone would leave none to send to.
+// If all endpoints fail for a shared reason, judging each endpoint alone would leave none to send requests
+// to.
 TEST(OutlierDetection, RequestsAreSentWhenAllEndpointsFail) {
   TestReplica replica(settings_with_large_quota());
   replica.handle(0, make_snapshot(4));
--- a/tests/balancer/random_walk_test.cpp
+++ b/tests/balancer/random_walk_test.cpp
@@ -1,6 +1,6 @@
-// The module's invariants under random valid orders of events, with fixed seeds: restarts of replicas and
-// servers, drains, incremental, empty and complete lists, failed watches, early departures, late and repeated
-// outcomes.
+// Checks invariants of the module under random valid sequences of events with fixed seeds: restarts of
+// replicas and servers, drains, incremental, empty and complete endpoint lists, failed watches, clients that
+// leave early, and late and repeated outcomes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,14 +17,15 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kResponseGrace = 0.15;  // s; steps are up to 0.12 s apart
+constexpr Seconds kMaxResponseDelay = 0.15;  // after the deadline; steps of the walk are up to 0.12 s apart
 constexpr std::size_t kEndpoints = 14;
 
 // Sends random events to one replica and checks each of its actions.
 class RandomWalk {
  public:
-  RandomWalk(std::uint64_t seed, IdempotencyKind kind, bool requires_watch) : random_(seed), kind_(kind) {
-    settings_ = basic_settings(make_request_class(kind.idempotency, kind.scope));
+  RandomWalk(std::uint64_t seed, IdempotencyPolicy policy, bool requires_watch)
+      : random_(seed), policy_(policy) {
+    settings_ = basic_settings(make_request_class(policy.idempotency, policy.dedup_scope));
     settings_.classes[0].dedup_window = 0.8;
     settings_.classes[0].late_priority_weight = seed % 2 == 0 ? 0.3 : 0;
     settings_.replica_count = 1 + static_cast<int>(random_.below(300));
@@ -38,7 +39,7 @@
     restart_replica();
   }
 
-  void step() {
+  void run_step() {
     now_ += 0.001 * static_cast<double>(random_.below(120));
     end_overdue_attempts();
     const std::size_t draw = random_.below(100);
@@ -61,13 +62,13 @@
  private:
   struct SentAttempt {
     std::string endpoint;
-    double sent_at = 0;
-    double timeout = 0;
+    Seconds sent_at = 0;
+    Seconds timeout = 0;
     bool open = true;
     bool may_have_run = true;
   };
   struct PendingRequest {
-    double deadline = 0;
+    Seconds deadline = 0;
     bool finished = false;
     std::vector<SentAttempt> attempts;
 
@@ -104,10 +105,11 @@
     ++attempts_;
     ASSERT_TRUE(requests_.contains(send.id));
     PendingRequest& request = requests_.at(send.id);
-    EXPECT_FALSE(request.finished) << "an attempt of a finished request";
+    EXPECT_FALSE(request.finished) << "an attempt is sent for a finished request";
     ASSERT_TRUE(listed_.contains(send.endpoint));
     const Endpoint& endpoint = listed_.at(send.endpoint);
-    EXPECT_EQ(endpoint.state, EndpointState::kReady) << "an attempt at a draining or removed endpoint";
+    EXPECT_EQ(endpoint.state, EndpointState::kReady)
+        << "an attempt is sent to a draining or removed endpoint";
     EXPECT_GT(send.timeout, 0);
     EXPECT_LE(now_ + send.timeout, request.deadline + 1e-9);
     EXPECT_LT(request.attempts.size(), static_cast<std::size_t>(settings_.max_attempts));
@@ -116,16 +118,16 @@
   }
 
   void check_retry(const SentAttempt& earlier, const Endpoint& endpoint) {
-    EXPECT_FALSE(earlier.open) << "two attempts at once";
-    if (!earlier.may_have_run || kind_.idempotency == Idempotency::kIdempotent) return;
-    EXPECT_NE(kind_.idempotency, Idempotency::kNotIdempotent)
-        << "a request that is not idempotent was retried though it may have run";
+    EXPECT_FALSE(earlier.open) << "two attempts of a request are open at the same time";
+    if (!earlier.may_have_run || policy_.idempotency == Idempotency::kIdempotent) return;
+    EXPECT_NE(policy_.idempotency, Idempotency::kNotIdempotent)
+        << "a request that is not idempotent is retried though it may have run";
     EXPECT_LE(now_, earlier.sent_at + settings_.classes[0].dedup_window);
-    const Endpoint& earlier_endpoint = known_.at(earlier.endpoint);
-    if (kind_.scope == DedupScope::kZone) {
+    const Endpoint& earlier_endpoint = ever_listed_.at(earlier.endpoint);
+    if (policy_.dedup_scope == DedupScope::kZone) {
       EXPECT_EQ(earlier_endpoint.zone, endpoint.zone);
     }
-    if (kind_.scope == DedupScope::kCell) {
+    if (policy_.dedup_scope == DedupScope::kCell) {
       EXPECT_EQ(earlier_endpoint.cell, endpoint.cell);
     }
   }
@@ -134,26 +136,27 @@
     ++final_responses_;
     ASSERT_TRUE(requests_.contains(id));
     PendingRequest& request = requests_.at(id);
-    EXPECT_FALSE(request.finished) << "a second final response";
+    EXPECT_FALSE(request.finished) << "a request gets a second final response";
     request.finished = true;
-    if (!rejected || !request.may_have_run() || kind_.idempotency == Idempotency::kIdempotent) return;
-    EXPECT_TRUE(kind_.idempotency == Idempotency::kIdempotencyKey && kind_.scope == DedupScope::kAll)
-        << "rejected though it may have run";
+    if (!rejected || !request.may_have_run() || policy_.idempotency == Idempotency::kIdempotent) return;
+    EXPECT_TRUE(policy_.idempotency == Idempotency::kIdempotencyKey &&
+                policy_.dedup_scope == DedupScope::kAll)
+        << "a request is rejected though it may have run";
   }
 
   void send_request() {
     Request request;
-    request.id = "r" + std::to_string(++sent_requests_);
+    request.id = "r" + std::to_string(++last_request_number_);
     request.tenant = random_.below(4);
-    const double times_left[] = {6, 2, 0.05, 0, -1};
+    const Seconds times_left[] = {6, 2, 0.05, 0, -1};
     request.time_left = times_left[random_.below(20) == 0 ? random_.below(5) : random_.below(2)];
     requests_[request.id].deadline = now_ + request.time_left;
     handle(request);
     const PendingRequest& pending = requests_.at(request.id);
     EXPECT_TRUE(pending.finished || !pending.attempts.empty())
-        << "a request with neither an attempt nor a response";
+        << "a request has neither an attempt nor a final response";
     if (!pending.finished && random_.below(30) == 0) {
-      EXPECT_TRUE(replica_->handle(now_, request).empty()) << "a repeated id";
+      EXPECT_TRUE(replica_->handle(now_, request).empty()) << "a repeated request id causes actions";
     }
   }
 
@@ -168,9 +171,10 @@
                                request.finished};
     handle(result);
     const PendingRequest& after = requests_.at(id);
-    EXPECT_TRUE(after.finished || after.has_open_attempt()) << "a request with neither attempt nor response";
+    EXPECT_TRUE(after.finished || after.has_open_attempt())
+        << "a request has neither an open attempt nor a final response";
     if (random_.below(20) == 0) {
-      EXPECT_TRUE(replica_->handle(now_, result).empty()) << "a repeated outcome";
+      EXPECT_TRUE(replica_->handle(now_, result).empty()) << "a repeated outcome causes actions";
     }
   }
 
@@ -190,7 +194,8 @@
     }
   }
 
-  // Attempts end at their timeout; none may be open, and no request without a response, after the deadline.
+  // Ends attempts at their timeouts, so that none is open after the deadline of its request, and checks that
+  // no request is without a response after its deadline.
   void end_overdue_attempts() {
     std::vector<std::pair<std::string, std::size_t>> overdue;
     for (const auto& [id, request] : requests_) {
@@ -199,7 +204,7 @@
         if (attempt.open && attempt.sent_at + attempt.timeout <= now_) overdue.emplace_back(id, i);
       }
     }
-    const double step_time = now_;
+    const Seconds step_time = now_;
     for (const auto& [id, number] : overdue) {
       const SentAttempt& attempt = requests_.at(id).attempts[number];
       now_ = std::max(replica_->now, attempt.sent_at + attempt.timeout);
@@ -207,11 +212,11 @@
     }
     now_ = step_time;
     for (const auto& [id, request] : requests_)
-      EXPECT_TRUE(request.finished || request.deadline + kResponseGrace >= now_) << id << " is overdue";
+      EXPECT_TRUE(request.finished || request.deadline + kMaxResponseDelay >= now_) << id << " is overdue";
   }
 
   void abort_random_request() {
-    const std::string id = "r" + std::to_string(1 + random_.below(sent_requests_ + 1));
+    const std::string id = "r" + std::to_string(1 + random_.below(last_request_number_ + 1));
     const auto request = requests_.find(id);
     if (request != requests_.end()) request->second.finished = true;
     handle(RequestAborted{id});
@@ -243,41 +248,43 @@
     }
     for (const Endpoint& endpoint : update.endpoints) {
       listed_[endpoint.address] = endpoint;
-      known_[endpoint.address] = endpoint;
+      ever_listed_[endpoint.address] = endpoint;
     }
     handle(update);
   }
 
   LinearCongruentialRandom random_;
-  IdempotencyKind kind_;
+  IdempotencyPolicy policy_;
   Settings settings_;
   std::optional<TestReplica> replica_;
-  double now_ = 1000;
-  std::size_t sent_requests_ = 0;
+  Seconds now_ = 1000;
+  std::size_t last_request_number_ = 0;
   std::map<std::string, PendingRequest> requests_;
-  std::map<std::string, Endpoint> listed_;  // what the present replica has been notified of
-  std::map<std::string, Endpoint> known_;   // what any replica has been notified of
+  // Endpoints that the current replica has been notified of, by address.
+  std::map<std::string, Endpoint> listed_;
+  // Endpoints that any replica has been notified of, by address.
+  std::map<std::string, Endpoint> ever_listed_;
   int attempts_ = 0;
   int final_responses_ = 0;
 };
 
-TEST(RandomWalk, InvariantsHold) {
-  const IdempotencyKind kinds[] = {{Idempotency::kIdempotent, DedupScope::kAll},
-                                   {Idempotency::kIdempotencyKey, DedupScope::kAll},
-                                   {Idempotency::kIdempotencyKey, DedupScope::kZone},
-                                   {Idempotency::kIdempotencyKey, DedupScope::kCell},
-                                   {Idempotency::kNotIdempotent, DedupScope::kAll}};
-  for (const IdempotencyKind& kind : kinds) {
+TEST(RandomWalk, BalancerInvariantsHold) {
+  const IdempotencyPolicy policies[] = {{Idempotency::kIdempotent, DedupScope::kAll},
+                                        {Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                        {Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                        {Idempotency::kIdempotencyKey, DedupScope::kCell},
+                                        {Idempotency::kNotIdempotent, DedupScope::kAll}};
+  for (const IdempotencyPolicy& policy : policies) {
     int attempts = 0;
     int final_responses = 0;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
-      RandomWalk walk(seed, kind, seed % 2 == 0);
-      for (int i = 0; i < 2000; ++i) walk.step();
+      RandomWalk walk(seed, policy, seed % 2 == 0);
+      for (int i = 0; i < 2000; ++i) walk.run_step();
       attempts += walk.attempts();
       final_responses += walk.final_responses();
       if (HasFailure()) {
-        FAIL() << "seed " << seed << ", idempotency " << static_cast<int>(kind.idempotency) << ", scope "
-               << static_cast<int>(kind.scope);
+        FAIL() << "seed " << seed << ", idempotency " << static_cast<int>(policy.idempotency) << ", scope "
+               << static_cast<int>(policy.dedup_scope);
       }
     }
     EXPECT_GT(attempts, 5000);
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Retry policy: what is retried, where, and after how long.
+// Retry policy: which requests are retried, at which endpoints, and after which timeout.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -47,30 +47,32 @@
     if (consumed) replica.handle(0, RequestBodyConsumed{"a"});
     const std::vector<Action> actions = replica.end_attempt("a", Outcome::kConnectFailed);
     EXPECT_EQ(actions_of_type<SendAttempt>(actions).empty(), consumed);
-    EXPECT_EQ(actions_of_type<RejectRequest>(actions).size(), consumed ? 1U : 0U) << "no server has begun it";
+    EXPECT_EQ(actions_of_type<RejectRequest>(actions).size(), consumed ? 1U : 0U)
+        << "no server has begun the request";
   }
 }
 
 TEST(RetryPolicy, AttemptTimeoutFollowsObservedLatency) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(4));
-  const double before = actions_of_type<SendAttempt>(replica.request("first"))[0].timeout;
+  const Seconds before = actions_of_type<SendAttempt>(replica.request("first"))[0].timeout;
   for (int i = 0; i < 100; ++i) {
     replica.now = i * 0.1;
     replica.request(std::to_string(i));
     replica.end_attempt(std::to_string(i), Outcome::kSuccess, 0, 0.05);
   }
-  const double after = actions_of_type<SendAttempt>(replica.request("last"))[0].timeout;
+  const Seconds after = actions_of_type<SendAttempt>(replica.request("last"))[0].timeout;
   EXPECT_LT(after, before / 2);
   EXPECT_GT(after, 0.05);
 }
 
-bool proves_not_run(Outcome outcome) {
+// Whether the outcome of an attempt shows that no server has executed the request.
+bool excludes_execution(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-// Two endpoints in each of four cells, one in each of two zones.
-EndpointUpdate snapshot_of_cells() {
+// Four cells with two endpoints each. The two endpoints of a cell are in different zones.
+EndpointUpdate make_snapshot_with_cells() {
   EndpointUpdate snapshot;
   for (int i = 0; i < 8; ++i) snapshot.endpoints.push_back(make_endpoint(i, i % 2, i / 2));
   return snapshot;
@@ -78,14 +80,15 @@
 
 // Sends one request, whose first attempt ends with `first_outcome`, and checks its retries and final
 // response.
-class RetryCheck {
+class RetryScenario {
  public:
-  RetryCheck(const IdempotencyKind& kind, Outcome first_outcome, std::uint64_t seed)
-      : kind_(kind),
+  RetryScenario(const IdempotencyPolicy& policy, Outcome first_outcome, std::uint64_t seed)
+      : policy_(policy),
         first_outcome_(first_outcome),
-        replica_(basic_settings(make_request_class(kind.idempotency, kind.scope)), seed) {
-    for (const Endpoint& endpoint : snapshot_of_cells().endpoints) endpoints_[endpoint.address] = endpoint;
-    replica_.handle(0, snapshot_of_cells());
+        replica_(basic_settings(make_request_class(policy.idempotency, policy.dedup_scope)), seed) {
+    for (const Endpoint& endpoint : make_snapshot_with_cells().endpoints)
+      endpoints_[endpoint.address] = endpoint;
+    replica_.handle(0, make_snapshot_with_cells());
   }
 
   void run() {
@@ -97,7 +100,7 @@
       const Endpoint& endpoint = endpoints_[sent[0].endpoint];
       expect_valid_retry(endpoint);
       const Outcome outcome = attempt == 0 ? first_outcome_ : Outcome::kConnectFailed;
-      if (!may_have_run_at_ && !proves_not_run(outcome)) may_have_run_at_ = endpoint;
+      if (!may_have_run_at_ && !excludes_execution(outcome)) may_have_run_at_ = endpoint;
       replica_.now += 0.05;
       actions = replica_.end_attempt("r", outcome, attempt);
       ASSERT_LT(attempt, 9);
@@ -106,12 +109,12 @@
 
  private:
   bool is_keyed(DedupScope scope) const {
-    return kind_.idempotency == Idempotency::kIdempotencyKey && kind_.scope == scope;
+    return policy_.idempotency == Idempotency::kIdempotencyKey && policy_.dedup_scope == scope;
   }
 
   void expect_valid_retry(const Endpoint& endpoint) const {
     if (!may_have_run_at_) return;
-    EXPECT_NE(kind_.idempotency, Idempotency::kNotIdempotent);
+    EXPECT_NE(policy_.idempotency, Idempotency::kNotIdempotent);
     if (is_keyed(DedupScope::kZone)) {
       EXPECT_EQ(endpoint.zone, may_have_run_at_->zone);
     }
@@ -123,36 +126,36 @@
   void expect_valid_final_response(const std::vector<Action>& actions) const {
     EXPECT_EQ(count_final_responses(actions), 1U);
     const bool rejected = !actions_of_type<RejectRequest>(actions).empty();
-    if (rejected && may_have_run_at_ && kind_.idempotency != Idempotency::kIdempotent) {
+    if (rejected && may_have_run_at_ && policy_.idempotency != Idempotency::kIdempotent) {
       EXPECT_TRUE(is_keyed(DedupScope::kAll));
     }
   }
 
-  IdempotencyKind kind_;
+  IdempotencyPolicy policy_;
   Outcome first_outcome_;
   TestReplica replica_;
   std::map<std::string, Endpoint> endpoints_;
   std::optional<Endpoint> may_have_run_at_;
 };
 
-// Every kind of idempotency against every failure: what may be retried, where, and what may be rejected.
+// Combines every idempotency policy with every failure of the first attempt.
 TEST(RetryPolicy, RetriesRespectIdempotencyAndDedupScope) {
-  const IdempotencyKind kinds[] = {{Idempotency::kIdempotent, DedupScope::kCell},
-                                   {Idempotency::kIdempotencyKey, DedupScope::kAll},
-                                   {Idempotency::kIdempotencyKey, DedupScope::kZone},
-                                   {Idempotency::kIdempotencyKey, DedupScope::kCell},
-                                   {Idempotency::kNotIdempotent, DedupScope::kCell}};
-  for (const IdempotencyKind& kind : kinds) {
+  const IdempotencyPolicy policies[] = {{Idempotency::kIdempotent, DedupScope::kCell},
+                                        {Idempotency::kIdempotencyKey, DedupScope::kAll},
+                                        {Idempotency::kIdempotencyKey, DedupScope::kZone},
+                                        {Idempotency::kIdempotencyKey, DedupScope::kCell},
+                                        {Idempotency::kNotIdempotent, DedupScope::kCell}};
+  for (const IdempotencyPolicy& policy : policies) {
     for (const Outcome first_outcome : kFailureOutcomes) {
       for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        RetryCheck(kind, first_outcome, seed).run();
+        RetryScenario(policy, first_outcome, seed).run();
         if (HasFatalFailure()) return;
       }
     }
   }
 }
 
-TEST(RetryPolicy, NothingIsRetriedAfterDedupWindow) {
+TEST(RetryPolicy, KeyedRequestIsNotRetriedAfterDedupWindow) {
   RequestClass request_class = make_request_class(Idempotency::kIdempotencyKey, DedupScope::kAll);
   request_class.dedup_window = 0.5;
   TestReplica replica(basic_settings(request_class));
--- a/tests/balancer/settings_test.cpp
+++ b/tests/balancer/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings that are invalid, and events that refer beyond them.
+// Invalid settings, and events with indexes that the settings do not contain.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -13,7 +13,7 @@
 
 using ChangeSettings = std::function<void(Settings&)>;
 
-// The error that a balancer reports after this change of valid settings, or "accepted".
+// The error that a balancer reports for valid settings with this change, or "accepted".
 std::string error_after(const ChangeSettings& change) {
   Settings settings = basic_settings();
   settings.tenants = {{1.0}};
@@ -31,7 +31,7 @@
   EXPECT_NE(error.find(field), std::string::npos) << field << ": " << error;
 }
 
-TEST(Settings, InvalidFieldIsNamed) {
+TEST(Settings, ErrorNamesInvalidField) {
   constexpr double kNotANumber = std::numeric_limits<double>::quiet_NaN();
   expect_error_naming("replica_count", [](Settings& settings) { settings.replica_count = 0; });
   expect_error_naming("replica_index", [](Settings& settings) { settings.replica_index = 1; });
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Slow start over a fleet: what all replicas together send to starting servers stays under N + 2 x sqrt(N) +
-// 2 in any window of overload_window, N being what the settings allow then. Each scenario runs with several
-// seeds.
+// Slow start in a fleet: all replicas together send a starting server at most N + 2 x sqrt(N) + 2 attempts in
+// any window of overload_window, where N is the number of attempts that the settings allow at that time. Each
+// scenario runs with several seeds.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -13,14 +13,17 @@
 
 struct SlowStartSettings {
   const char* name;
-  double slow_start_capacity, slow_start_duration, overload_multiple, overload_window;
+  double slow_start_capacity;
+  Seconds slow_start_duration;
+  double overload_multiple;
+  Seconds overload_window;
 };
 constexpr SlowStartSettings kSlowStartSettings[] = {{"as deployed", 0.14, 22, 3, 2},
                                                     {"small multiple", 0.1, 30, 1.5, 4},
                                                     {"short slow start", 0.25, 10, 2, 3},
                                                     {"short window", 0.05, 40, 4, 1}};
 
-FleetScenario scenario_with(const SlowStartSettings& settings, int replicas, int starting_servers, int tier) {
+FleetScenario make_scenario(const SlowStartSettings& settings, int replicas, int starting_servers, int tier) {
   FleetScenario scenario;
   scenario.slow_start_capacity = settings.slow_start_capacity;
   scenario.slow_start_duration = settings.slow_start_duration;
@@ -35,21 +38,21 @@
   return scenario;
 }
 
-// With a burst that exceeds the fleet's capacity.
-FleetScenario overloaded_scenario(const SlowStartSettings& settings, int replicas, int starting_servers,
-                                  int tier) {
-  FleetScenario scenario = scenario_with(settings, replicas, starting_servers, tier);
+// A scenario whose load and burst exceed the fleet's capacity.
+FleetScenario make_overload_scenario(const SlowStartSettings& settings, int replicas, int starting_servers,
+                                     int tier) {
+  FleetScenario scenario = make_scenario(settings, replicas, starting_servers, tier);
   scenario.load = 1.4;
   scenario.burst_factor = 2.3;
   return scenario;
 }
 
-void expect_within_budget(FleetScenario scenario, const std::string& description) {
+void expect_load_within_budget(FleetScenario scenario, const std::string& description) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     scenario.seed = seed;
     const OverloadWindow worst = SimulatedFleet(scenario).run().slow_start.attempts;
     EXPECT_GE(worst.margin, 0) << description << ", seed " << seed << ": " << worst.received
-                               << " attempts of " << worst.bearable << ", " << worst.since_start
+                               << " attempts of " << worst.limit << ", " << worst.time_since_start
                                << " s after the start";
   }
 }
@@ -58,9 +61,9 @@
   for (const SlowStartSettings& settings : kSlowStartSettings) {
     for (const int replicas : {4, 30, 300}) {
       for (const int tier : {0, 1}) {
-        expect_within_budget(overloaded_scenario(settings, replicas, 8, tier),
-                             std::string(settings.name) + ", " + std::to_string(replicas) +
-                                 " replicas, tier " + std::to_string(tier));
+        expect_load_within_budget(make_overload_scenario(settings, replicas, 8, tier),
+                                  std::string(settings.name) + ", " + std::to_string(replicas) +
+                                      " replicas, tier " + std::to_string(tier));
       }
     }
   }
@@ -72,16 +75,16 @@
       {Fault::kSlow, "slow"},           {Fault::kPausing, "pausing"}, {Fault::kUnreachable, "unreachable"}};
   for (const SlowStartSettings& settings : kSlowStartSettings) {
     for (const auto& [fault, name] : faults) {
-      FleetScenario scenario = overloaded_scenario(settings, 20, 8, 1);
+      FleetScenario scenario = make_overload_scenario(settings, 20, 8, 1);
       scenario.fault = fault;
       scenario.faulty_fraction = 0.3;
       scenario.load = 1;
       scenario.restart_after_crash = true;
-      expect_within_budget(scenario, std::string(settings.name) + ", other servers " + name);
+      expect_load_within_budget(scenario, std::string(settings.name) + ", other servers " + name);
     }
-    FleetScenario scenario = overloaded_scenario(settings, 4, 1, 1);
+    FleetScenario scenario = make_overload_scenario(settings, 4, 1, 1);
     scenario.shared_slowdown = true;
-    expect_within_budget(scenario, std::string(settings.name) + ", all slow");
+    expect_load_within_budget(scenario, std::string(settings.name) + ", all slow");
   }
 }
 
@@ -90,42 +93,43 @@
     for (const ReplicaSetChange change :
          {ReplicaSetChange::kHalved, ReplicaSetChange::kDoubled, ReplicaSetChange::kReplaced}) {
       for (const int replicas : {4, 30}) {
-        FleetScenario scenario = overloaded_scenario(settings, replicas, 8, 0);
+        FleetScenario scenario = make_overload_scenario(settings, replicas, 8, 0);
         scenario.replica_set_change = change;
         scenario.notification_spread = 4;
         scenario.shared_slowdown = replicas == 4;
-        expect_within_budget(scenario, std::string(settings.name) + ", replica set change " +
-                                           std::to_string(static_cast<int>(change)) + ", replicas " +
-                                           std::to_string(replicas));
+        expect_load_within_budget(scenario, std::string(settings.name) + ", replica set change " +
+                                                std::to_string(static_cast<int>(change)) + ", replicas " +
+                                                std::to_string(replicas));
       }
     }
   }
 }
 
-// Next to crowded servers a starting one responds as fast as they do, and is trusted with more.
-TEST(SlowStartFleet, CrowdedEndpointsDoNotRaiseBudget) {
+// Next to congested servers a starting server responds as fast as they do, which must not be taken for spare
+// capacity.
+TEST(SlowStartFleet, CongestedEndpointsDoNotRaiseBudget) {
   const std::pair<Fault, double> faults[] = {{Fault::kPausing, 0.25}, {Fault::kSlow, 0.4}};
   for (const SlowStartSettings& settings :
        {kSlowStartSettings[2], SlowStartSettings{"half its capacity", 0.5, 6, 1.5, 2}}) {
     for (const auto& [fault, faulty_fraction] : faults) {
       for (const int replicas : {4, 30}) {
-        FleetScenario scenario = overloaded_scenario(settings, replicas, 8, 1);
+        FleetScenario scenario = make_overload_scenario(settings, replicas, 8, 1);
         scenario.rate_per_weight = 12;
         scenario.fault = fault;
         scenario.faulty_fraction = faulty_fraction;
         scenario.slowdown = 2.5;
         scenario.burst_delay = 4;
-        expect_within_budget(scenario,
-                             std::string(settings.name) + ", " + std::to_string(replicas) + " replicas");
+        expect_load_within_budget(scenario,
+                                  std::string(settings.name) + ", " + std::to_string(replicas) + " replicas");
       }
     }
   }
 }
 
-// A starting server that gets next to nothing, for safety, never warms up.
+// A starting server that gets almost no requests, for its protection, never warms up.
 TEST(SlowStartFleet, StartingEndpointsAreNotLeftIdle) {
   for (const int replicas : {4, 30, 300}) {
-    FleetScenario scenario = scenario_with(kSlowStartSettings[0], replicas, 4, 0);
+    FleetScenario scenario = make_scenario(kSlowStartSettings[0], replicas, 4, 0);
     scenario.rate_per_weight = 20;
     scenario.load = 0.7;
     double utilization = 0;
@@ -138,7 +142,7 @@
 }
 
 TEST(SlowStartFleet, SameSeedGivesSameCounts) {
-  FleetScenario scenario = scenario_with(kSlowStartSettings[0], 30, 8, 0);
+  FleetScenario scenario = make_scenario(kSlowStartSettings[0], 30, 8, 0);
   scenario.replica_set_change = ReplicaSetChange::kReplaced;
   const FleetCounts first = SimulatedFleet(scenario).run();
   const FleetCounts second = SimulatedFleet(scenario).run();
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -12,31 +12,31 @@
 
 constexpr int kReplicas = 10;
 constexpr int kEndpoints = 10;
-constexpr double kRate = 20;         // requests/s of a replica, and of an endpoint over all replicas
-constexpr double kBegin = 100;       // s
-constexpr double kStartedAt = 109;   // s; of the starting endpoint
-constexpr double kNotifiedAt = 110;  // s; when the replicas learn of it
-constexpr double kDuration = 40;     // s
+constexpr double kRequestsPerSecond = 20;  // of a replica, and of an endpoint over all replicas
+constexpr Seconds kRunStartsAt = 100;
+constexpr Seconds kRunDuration = 40;
+constexpr Seconds kStartedAt = 109;   // start of the starting endpoint
+constexpr Seconds kNotifiedAt = 110;  // when the replicas are notified of the start
 constexpr double kSlowStartCapacity = 0.14;
-constexpr double kSlowStartDuration = 24;  // s
+constexpr Seconds kSlowStartDuration = 24;
 constexpr double kOverloadMultiple = 3;
-constexpr double kOverloadWindow = 2;  // s
-constexpr double kLatency = 0.1;       // s
+constexpr Seconds kOverloadWindow = 2;
+constexpr Seconds kLatency = 0.1;
 
-// Adds the times of the attempts at the starting endpoint, which takes `latency_factor` times as long as
-// others.
-void run_replica(TestReplica& replica, double latency_factor, std::vector<double>& attempt_times) {
-  replica.handle(kBegin, make_snapshot(kEndpoints));
-  for (int i = 0; i < static_cast<int>(kDuration * kRate); ++i) {
-    const double now = kBegin + i / kRate;
-    if (i == static_cast<int>((kNotifiedAt - kBegin) * kRate)) {
+// Runs one replica, and adds the times of its attempts at the starting endpoint to `attempt_times`. The
+// latency of that endpoint is `latency_factor` times that of the others.
+void run_replica(TestReplica& replica, double latency_factor, std::vector<Seconds>& attempt_times) {
+  replica.handle(kRunStartsAt, make_snapshot(kEndpoints));
+  for (int i = 0; i < static_cast<int>(kRunDuration * kRequestsPerSecond); ++i) {
+    const Seconds now = kRunStartsAt + i / kRequestsPerSecond;
+    if (i == static_cast<int>((kNotifiedAt - kRunStartsAt) * kRequestsPerSecond)) {
       Endpoint restarted = make_endpoint(0);
       restarted.started_at = kStartedAt;
       replica.handle(now, make_update(restarted));
     }
     replica.now = now;
     const std::string id = std::to_string(i);
-    double latency = kLatency;
+    Seconds latency = kLatency;
     for (const SendAttempt& send : actions_of_type<SendAttempt>(replica.request(id))) {
       if (send.endpoint != "s0" || now < kNotifiedAt) continue;
       attempt_times.push_back(now);
@@ -47,12 +47,12 @@
 }
 
 // The times of all replicas' attempts at the starting endpoint.
-std::vector<double> attempts_at_starting_endpoint(double latency_factor) {
+std::vector<Seconds> attempts_at_starting_endpoint(double latency_factor) {
   Settings settings = basic_settings();
   settings.replica_count = kReplicas;
   settings.slow_start_capacity = kSlowStartCapacity;
   settings.slow_start_duration = kSlowStartDuration;
-  std::vector<double> attempt_times;
+  std::vector<Seconds> attempt_times;
   for (int index = 0; index < kReplicas; ++index) {
     settings.replica_index = index;
     TestReplica replica(settings, static_cast<std::uint64_t>(index) + 1);
@@ -61,29 +61,31 @@
   return attempt_times;
 }
 
-auto count_between(const std::vector<double>& times, double begin, double end) {
-  return std::count_if(times.begin(), times.end(), [=](double time) { return time >= begin && time < end; });
+auto count_between(const std::vector<Seconds>& times, Seconds begin, Seconds end) {
+  return std::count_if(times.begin(), times.end(), [=](Seconds time) { return time >= begin && time < end; });
 }
 
 TEST(SlowStart, BudgetOfStartingEndpointIsShared) {
-  const std::vector<double> attempt_times = attempts_at_starting_endpoint(1);
-  const double warm_rate = kReplicas * kRate / kEndpoints;
+  const std::vector<Seconds> attempt_times = attempts_at_starting_endpoint(1);
+  const double warm_rate = kReplicas * kRequestsPerSecond / kEndpoints;
   for (int step = 0; step < 48; ++step) {
-    const double begin = kNotifiedAt + 0.5 * step;
-    const double warmed = (1 - kSlowStartCapacity) * (begin - kStartedAt) / kSlowStartDuration;
-    const double capacity = warm_rate * (kSlowStartCapacity + warmed);
+    const Seconds begin = kNotifiedAt + 0.5 * step;
+    const double warm_up_gain = (1 - kSlowStartCapacity) * (begin - kStartedAt) / kSlowStartDuration;
+    const double capacity = warm_rate * (kSlowStartCapacity + warm_up_gain);
     const auto in_window = count_between(attempt_times, begin, begin + kOverloadWindow);
     EXPECT_LE(static_cast<double>(in_window), kOverloadMultiple * capacity * kOverloadWindow)
         << "at " << begin;
   }
   EXPECT_GT(attempt_times.size(), 50U) << "without work a starting endpoint never warms up";
-  // Held to the load of a warm one, an endpoint that warms up by its work would stay slow.
+  // An endpoint that warms up by serving requests would stay slow if it were held to the load of a warm
+  // endpoint.
   EXPECT_GE(count_between(attempt_times, kNotifiedAt, 118), 28);
 }
 
-// Many replicas that each limit it to its guaranteed capacity, and also weigh it by that, would leave it idle
-// next to crowded ones. It gets more once it responds as fast as they do, and only then.
-TEST(SlowStart, FastStartingEndpointGetsMoreRequests) {
+// If many replicas each limited a starting endpoint to its guaranteed capacity and also weighted it by that
+// capacity, the endpoint would stay idle next to congested ones. It gets more requests when it responds as
+// fast as the other endpoints, and only then.
+TEST(SlowStart, FastStartingEndpointGetsMoreRequestsThanSlowOne) {
   const auto fast = count_between(attempts_at_starting_endpoint(1), 114, 120);
   const auto slow = count_between(attempts_at_starting_endpoint(3), 114, 120);
   EXPECT_GE(fast, 48);
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -1,4 +1,4 @@
-// Subset: which endpoints a replica uses.
+// Subsetting: which endpoints a replica uses.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,14 +15,16 @@
 
 constexpr int kZoneRequests = 600;
 
-// Of kZoneRequests, as fractions.
+// Fractions of kZoneRequests that were sent to the replica's own zone and to other zones.
 struct ZoneFractions {
   double own = 0;
   double other = 0;
 };
 
-// Where a replica of zone 0 sends its requests. zones: of endpoint 0, 1, ...; latency: in seconds, by zone.
-ZoneFractions zone_fractions(const std::vector<int>& zones, const std::function<double(int zone)>& latency) {
+// Measures to which zones a replica of zone 0 sends its requests. `zones` holds the zones of the endpoints 0,
+// 1, ...
+ZoneFractions measure_zone_fractions(const std::vector<int>& zones,
+                                     const std::function<Seconds(int zone)>& latency) {
   Settings settings = basic_settings();
   settings.cross_zone_cost = 0.01;
   TestReplica replica(settings);
@@ -44,22 +46,23 @@
   return {own / static_cast<double>(kZoneRequests), other / static_cast<double>(kZoneRequests)};
 }
 
-TEST(Subset, CrowdedZoneSpillsOverToOtherZones) {
-  const auto other_zone_fraction = [](double own_zone_latency) {
+TEST(Subset, SlowZoneSpillsOverToOtherZones) {
+  const auto other_zone_fraction = [](Seconds own_zone_latency) {
     const std::vector<int> zones = {0, 1, 0, 1, 0, 1, 0, 1, 0, 1, 0, 1};
-    return zone_fractions(zones, [=](int zone) { return zone == 0 ? own_zone_latency : 0.12; }).other;
+    return measure_zone_fractions(zones, [=](int zone) { return zone == 0 ? own_zone_latency : 0.12; }).other;
   };
   EXPECT_LT(other_zone_fraction(0.1), 0.1)
       << "random differences must not outweigh the cost of crossing zones";
   EXPECT_GT(other_zone_fraction(0.5), 0.4);
 }
 
-// The only small endpoint of a zone would get all requests of that zone while large ones elsewhere are idle.
+// If preferred, a single small endpoint of a zone would get all requests of replicas in that zone while large
+// endpoints of other zones are idle.
 TEST(Subset, ZoneWithFewEndpointsIsNotPreferred) {
   const auto own_zone_fraction = [](int own_zone_endpoints) {
     std::vector<int> zones(9, 1);
     std::fill_n(zones.begin(), own_zone_endpoints, 0);
-    return zone_fractions(zones, [](int) { return 0.1; }).own;
+    return measure_zone_fractions(zones, [](int) { return 0.1; }).own;
   };
   EXPECT_LT(own_zone_fraction(1), 0.3);
   EXPECT_LT(own_zone_fraction(2), 0.4);
@@ -116,7 +119,7 @@
   }
 }
 
-// With a subset of fixed size few replicas would leave most of a large tier without work.
+// With subsets of a fixed size, few replicas would leave most endpoints of a large tier without work.
 TEST(Subset, FewReplicasReachAllEndpoints) {
   std::set<std::string> used;
   for (int index = 0; index < 2; ++index) {
--- a/tests/balancer/tenant_rate_limit_test.cpp
+++ b/tests/balancer/tenant_rate_limit_test.cpp
@@ -31,7 +31,8 @@
   EXPECT_GE(replica.balancer.tenant(replica.now, 0).rate_limit, 100);
 }
 
-// Every sixth response exceeds the latency objective. Returns how many requests were rejected.
+// Sends requests. Every sixth response takes 1.5 s and the others 0.3 s. Returns the number of rejected
+// requests.
 int send_load_with_slow_responses(TestReplica& replica, int requests, double rate) {
   int rejected = 0;
   for (int i = 0; i < requests; ++i) {
@@ -43,8 +44,8 @@
   return rejected;
 }
 
-// Of few requests some are always slow: they say nothing about the capacity of the servers.
-TEST(TenantRateLimit, FewSlowRequestsDoNotLowerReplicaBelowItsQuota) {
+// Among few requests some are always slow, which says nothing about the capacity of the servers.
+TEST(TenantRateLimit, FewSlowRequestsDoNotLowerLimitBelowQuotaShare) {
   Settings settings = settings_with_quota(8 * 20);
   settings.replica_count = 20;
   TestReplica replica(settings);
@@ -52,7 +53,7 @@
   EXPECT_EQ(send_load_with_slow_responses(replica, 480, 8.0), 0);
 }
 
-TEST(TenantRateLimit, IsLoweredOncePerReview) {
+TEST(TenantRateLimit, IsLoweredAtMostOncePerReview) {
   TestReplica replica(settings_with_quota(100));
   replica.handle(0, make_snapshot(4));
   send_steady_load(replica, 0, 0.9, 200, "a", Outcome::kRejected);
@@ -61,7 +62,7 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(replica.now, 0).rate_limit, lowered);
 }
 
-// Without a quota the limit has no lower bound but the rate of the requests that succeed.
+// Without a quota the only lower bound of the limit is the rate of the requests that succeed.
 TEST(TenantRateLimit, WithoutQuotaStaysAboveRateOfSuccesses) {
   for (const bool has_tenant : {false, true}) {
     for (const int tier : {0, 1}) {
@@ -83,7 +84,7 @@
   EXPECT_LT(replica.balancer.tenant(replica.now, 0).rate_limit, 10);
 }
 
-TEST(TenantRateLimit, OverloadDoesNotLowerReplicaBelowItsQuota) {
+TEST(TenantRateLimit, OverloadDoesNotLowerLimitBelowQuotaShare) {
   Settings settings = settings_with_quota(400);
   settings.replica_count = 400;
   TestReplica replica(settings);
--- a/tests/support/balancer_fixture.cpp
+++ b/tests/support/balancer_fixture.cpp
@@ -53,7 +53,7 @@
   return actions_of_type<RejectRequest>(actions).size() + actions_of_type<FailRequest>(actions).size();
 }
 
-std::vector<Action> TestReplica::handle(double time, const Event& event) {
+std::vector<Action> TestReplica::handle(Seconds time, const Event& event) {
   now = time;
   std::vector<Action> actions;
   balancer.handle(now, event, actions);
@@ -71,7 +71,7 @@
 }
 
 std::vector<Action> TestReplica::end_attempt(const std::string& id, Outcome outcome, int attempt,
-                                             double elapsed) {
+                                             Seconds elapsed) {
   return handle(now, AttemptResult{id, attempt, outcome, elapsed, outcome == Outcome::kSuccess});
 }
 
--- a/tests/support/event_digest.h
+++ b/tests/support/event_digest.h
@@ -1,4 +1,4 @@
-// A digest of a sequence of values.
+// A digest of a sequence of values, for comparing the decisions of two runs.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,11 @@
 
 namespace asterdrift::balancer {
 
-// FNV-1a. Sequences that differ have, but for rare collisions, different digests.
+// FNV-1a digest. Different sequences have different digests, except for rare collisions.
 class EventDigest {
  public:
   void add(std::uint64_t value);
-  void add(double value);  // to a millionth: platforms round exp() differently
+  void add(double value);  // rounded to a millionth, because platforms round exp() differently
   void add(std::string_view text);
 
   std::uint64_t value() const { return digest_; }
--- a/tests/support/event_queue.h
+++ b/tests/support/event_queue.h
@@ -1,4 +1,4 @@
-// Events of a simulation in virtual time.
+// Event queue of a simulation in virtual time.
 #pragma once
 
 #include <cstdint>
@@ -7,31 +7,35 @@
 #include <queue>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::balancer {
 
-// Runs scheduled events in the order of their times, and those of one time in the order of their scheduling.
+// Runs scheduled events in order of time. Events with equal times run in the order in which they were
+// scheduled.
 class EventQueue {
  public:
-  double now() const { return now_; }  // s; the time of the event that runs
+  Seconds now() const { return now_; }  // time of the event that is running
 
-  void schedule(double at, std::function<void()> run);
+  void schedule(Seconds at, std::function<void()> run);
 
-  // Runs all events up to `end`, that time included, and those that they schedule meanwhile.
-  void run_until(double end = std::numeric_limits<double>::infinity());
+  // Runs all events whose time is at most `end`, including events that are scheduled meanwhile.
+  void run_until(Seconds end = std::numeric_limits<double>::infinity());
 
  private:
   struct ScheduledEvent {
-    double at = 0;
-    std::uint64_t number = 0;
+    Seconds at = 0;
+    std::uint64_t sequence_number = 0;
     std::function<void()> run;
     bool operator<(const ScheduledEvent& other) const {
-      return at != other.at ? at > other.at : number > other.number;  // the earliest is on top
+      // Reversed, because std::priority_queue has its largest element on top.
+      return at != other.at ? at > other.at : sequence_number > other.sequence_number;
     }
   };
 
   std::priority_queue<ScheduledEvent> events_;
-  std::uint64_t scheduled_ = 0;
-  double now_ = 0;
+  std::uint64_t last_sequence_number_ = 0;
+  Seconds now_ = 0;
 };
 
 }  // namespace asterdrift::balancer
--- a/tests/support/linear_congruential_random.h
+++ b/tests/support/linear_congruential_random.h
@@ -1,4 +1,4 @@
-// Random numbers for generated events: the same seed gives the same numbers.
+// Reproducible random numbers for generated events.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 
 namespace asterdrift::balancer {
 
-// Knuth's 64-bit linear congruential generator (MMIX).
+// Knuth's 64-bit linear congruential generator (MMIX). The same seed gives the same numbers.
 class LinearCongruentialRandom {
  public:
   explicit LinearCongruentialRandom(std::uint64_t seed) : state_(seed) {}
@@ -15,9 +15,9 @@
     state_ = state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     return state_;
   }
-  std::uint64_t next() { return next_state() >> 33; }  // the low bits of the state are not random enough
+  std::uint64_t next() { return next_state() >> 33; }  // low bits of the state are not random enough
   std::size_t below(std::size_t bound) { return static_cast<std::size_t>(next() % bound); }
-  double unit() { return static_cast<double>(below(1 << 20)) / (1 << 20); }  // from 0 to below 1
+  double unit() { return static_cast<double>(below(1 << 20)) / (1 << 20); }  // in [0, 1)
 
  private:
   std::uint64_t state_;
--- a/tests/support/random_endpoint_updates.cpp
+++ b/tests/support/random_endpoint_updates.cpp
@@ -8,6 +8,7 @@
 
 constexpr int kFleetZones = 3;
 constexpr int kFleetCells = 500;
+// Numbers of the endpoints whose address hashes have the same upper half.
 constexpr int kNumbersWithSimilarHashes[] = {59298, 69998};
 
 }  // namespace
@@ -24,7 +25,7 @@
   return snapshot;
 }
 
-Settings settings_of_many_replicas(const RequestClass& request_class, int replicas) {
+Settings settings_for_many_replicas(const RequestClass& request_class, int replicas) {
   Settings settings = basic_settings(request_class);
   settings.replica_count = replicas;
   settings.tier = 1;
--- a/tests/support/random_event_stream.cpp
+++ b/tests/support/random_event_stream.cpp
@@ -7,11 +7,11 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kUnresponsiveLatency = 30;  // s; no attempt waits that long
-constexpr double kRecoveredLatency = 0.1;    // s
-constexpr std::size_t kUpdateOfMany = 40;    // endpoints
+constexpr Seconds kUnresponsiveLatency = 30;  // longer than the timeout of any attempt
+constexpr Seconds kRecoveredLatency = 0.1;
+constexpr std::size_t kLargeUpdateEndpoints = 40;
 
-Settings settings_of(std::uint64_t seed) {
+Settings make_settings(std::uint64_t seed) {
   Settings settings = basic_settings(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kCell));
   settings.classes.push_back(make_request_class(Idempotency::kIdempotent));
   settings.classes.push_back(make_request_class(Idempotency::kIdempotencyKey, DedupScope::kZone));
@@ -35,31 +35,31 @@
 }  // namespace
 
 RandomEventStream::RandomEventStream(std::uint64_t seed, std::size_t endpoints)
-    : random_(seed * 2654435761 + 1), replica_(settings_of(seed), seed), endpoints_(endpoints) {
+    : random_(seed * 2654435761 + 1), replica_(make_settings(seed), seed), endpoints_(endpoints) {
   for (SimulatedEndpoint& endpoint : endpoints_) replace_endpoint(endpoint);
   handle(Started{});
-  handle(snapshot_of(is_ready));
+  handle(snapshot_matching(is_ready));
 }
 
 void RandomEventStream::run(int steps) {
-  for (int i = 0; i < steps; ++i) step();
+  for (int i = 0; i < steps; ++i) run_step();
 }
 
-void RandomEventStream::step() {
+void RandomEventStream::run_step() {
   now_ += 0.02 * random_.unit();
   end_due_attempts();
   const std::size_t draw = random_.below(200);
   if (draw < 150) {
     send_request();
   } else if (draw < 155) {
-    const std::size_t age = random_.below(std::min<std::size_t>(requests_, 20));
-    handle(RequestAborted{std::to_string(requests_ - 1 - age)});
+    const std::size_t age = random_.below(std::min<std::size_t>(next_request_id_, 20));
+    handle(RequestAborted{std::to_string(next_request_id_ - 1 - age)});
   } else if (draw < 158) {
-    change_latencies();
+    change_random_latencies();
   } else if (draw < 168) {
     update_endpoints();
   }
-  if (random_.below(50) == 0) observe_endpoints();
+  if (random_.below(50) == 0) record_endpoint_view();
 }
 
 void RandomEventStream::end_due_attempts() {
@@ -73,7 +73,7 @@
 
 void RandomEventStream::send_request() {
   Request request;
-  request.id = std::to_string(requests_++);
+  request.id = std::to_string(next_request_id_++);
   request.tenant = random_.below(3);
   request.request_class = random_.below(5);
   request.time_left = 0.5 + 5 * random_.unit();
@@ -82,15 +82,16 @@
   if (request.body_arriving) handle(RequestBodySent{request.id, 0});
 }
 
-// A slowdown that many endpoints share, or its end.
-void RandomEventStream::change_latencies() {
+// Makes about a third of the endpoints unresponsive or fast again: a slowdown that many endpoints share, or
+// its end.
+void RandomEventStream::change_random_latencies() {
   for (SimulatedEndpoint& endpoint : endpoints_) {
     if (random_.below(3) > 0) continue;
     endpoint.mean_latency = random_.below(2) == 0 ? kUnresponsiveLatency : kRecoveredLatency;
   }
 }
 
-void RandomEventStream::observe_endpoints() {
+void RandomEventStream::record_endpoint_view() {
   const EndpointSetView view = replica_.balancer.endpoints(now_);
   digest_.add(view.listed);
   digest_.add(view.unavailable);
@@ -99,7 +100,7 @@
 void RandomEventStream::replace_endpoint(SimulatedEndpoint& endpoint) {
   Endpoint& advertised = endpoint.advertised;
   const std::string network = "10.0." + std::to_string(random_.below(4));
-  advertised.address = network + "." + std::to_string(addresses_++) + ":8080";
+  advertised.address = network + "." + std::to_string(next_address_number_++) + ":8080";
   advertised.cell = static_cast<int>(random_.below(6));
   advertised.zone = advertised.cell / 2;
   advertised.weight = 0.3 + random_.unit();
@@ -109,27 +110,27 @@
   endpoint.failure_probability = random_.below(12) == 0 ? 0.7 : 0.01;
 }
 
-// Incremental as a rule; at times a snapshot, or a watch that has failed.
+// Sends an incremental update as a rule, and sometimes a snapshot or a watch failure.
 void RandomEventStream::update_endpoints() {
   EndpointUpdate update;
   update.form = EndpointUpdate::Form::kIncremental;
-  const std::size_t changes = random_.below(30) == 0 ? kUpdateOfMany : 1 + random_.below(3);
+  const std::size_t changes = random_.below(30) == 0 ? kLargeUpdateEndpoints : 1 + random_.below(3);
   for (std::size_t i = 0; i < changes; ++i) {
     SimulatedEndpoint& endpoint = endpoints_[random_.below(endpoints_.size())];
-    change_endpoint(endpoint, update);
+    apply_random_change(endpoint, update);
     update.endpoints.push_back(endpoint.advertised);
     if (random_.below(4) == 0) update.endpoints.push_back(endpoint.advertised);
   }
   if (random_.below(6) == 0) {
-    update = snapshot_of(is_not_removed);
+    update = snapshot_matching(is_not_removed);
   } else if (random_.below(20) == 0) {
     update = {EndpointUpdate::Form::kWatchFailed, {}};
   }
   handle(update);
 }
 
-// Drains, removes, restarts, moves or replaces an endpoint.
-void RandomEventStream::change_endpoint(SimulatedEndpoint& endpoint, EndpointUpdate& update) {
+// Drains, removes, restarts, moves or replaces an endpoint. A replaced endpoint is removed by `update`.
+void RandomEventStream::apply_random_change(SimulatedEndpoint& endpoint, EndpointUpdate& update) {
   Endpoint& advertised = endpoint.advertised;
   const std::size_t draw = random_.below(8);
   if (draw < 2) {
@@ -149,10 +150,10 @@
   }
 }
 
-EndpointUpdate RandomEventStream::snapshot_of(bool (*is_listed)(EndpointState)) const {
+EndpointUpdate RandomEventStream::snapshot_matching(bool (*matches)(EndpointState)) const {
   EndpointUpdate snapshot;
   for (const SimulatedEndpoint& endpoint : endpoints_) {
-    if (is_listed(endpoint.advertised.state)) snapshot.endpoints.push_back(endpoint.advertised);
+    if (matches(endpoint.advertised.state)) snapshot.endpoints.push_back(endpoint.advertised);
   }
   return snapshot;
 }
@@ -172,14 +173,14 @@
   ++attempts_;
   OpenAttempt attempt;
   attempt.request_id = send.id;
-  attempt.number = attempts_of_request_[send.id]++;
+  attempt.number = attempt_counts_[send.id]++;
   attempt.sent_at = now_;
   if (attempt.number > 0) ++retries_;
   const auto endpoint = std::find_if(
       endpoints_.begin(), endpoints_.end(),
       [&](const SimulatedEndpoint& candidate) { return candidate.advertised.address == send.endpoint; });
   const bool known = endpoint != endpoints_.end();
-  double elapsed = known ? endpoint->mean_latency * (0.5 + random_.unit()) : 0.01;
+  Seconds elapsed = known ? endpoint->mean_latency * (0.5 + random_.unit()) : 0.01;
   if (!known || random_.unit() < endpoint->failure_probability) {
     constexpr Outcome kFailures[] = {Outcome::kServerError,   Outcome::kRejected, Outcome::kConnectionReset,
                                      Outcome::kConnectFailed, Outcome::kNotSent,  Outcome::kUnknown};
@@ -194,7 +195,7 @@
 
 void RandomEventStream::record(const CancelAttempt& cancel) {
   digest_.add(cancel.id);
-  for (auto& [end, attempt] : open_attempts_) {
+  for (auto& [end_time, attempt] : open_attempts_) {
     if (attempt.request_id == cancel.id && attempt.number == cancel.attempt)
       attempt.outcome = Outcome::kCancelled;
   }
--- a/tests/support/random_event_stream.h
+++ b/tests/support/random_event_stream.h
@@ -1,5 +1,5 @@
-// A long random stream of valid events for one Balancer, and a digest of its decisions: it shows whether a
-// change of how endpoints are stored has changed any decision.
+// A long random stream of valid events for one Balancer, and a digest of its decisions. The digest shows
+// whether a change of how endpoints are stored has changed any decision.
 #pragma once
 
 #include <cstddef>
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "support/balancer_fixture.h"
 #include "support/event_digest.h"
 #include "support/linear_congruential_random.h"
@@ -16,38 +17,39 @@
 
 class RandomEventStream {
  public:
-  // The seed sets the settings, the balancer's own seed and the events.
+  // `seed` determines the settings, the balancer's own seed and the events.
   RandomEventStream(std::uint64_t seed, std::size_t endpoints);
 
   void run(int steps);
 
-  std::uint64_t digest() const { return digest_.value(); }  // of all actions so far
+  // Digest of all actions so far, and of the endpoint metrics at random times.
+  std::uint64_t digest() const { return digest_.value(); }
   std::size_t attempts() const { return attempts_; }
   std::size_t retries() const { return retries_; }
 
  private:
   struct SimulatedEndpoint {
     Endpoint advertised;
-    double mean_latency = 0.1;  // s
+    Seconds mean_latency = 0.1;
     double failure_probability = 0;
   };
   struct OpenAttempt {
     std::string request_id;
     int number = 0;
-    double sent_at = 0;
+    Seconds sent_at = 0;
     Outcome outcome = Outcome::kSuccess;
   };
 
-  void step();
+  void run_step();
   void end_due_attempts();
   void send_request();
-  void change_latencies();
-  void observe_endpoints();
+  void change_random_latencies();
+  void record_endpoint_view();
 
   void replace_endpoint(SimulatedEndpoint& endpoint);
   void update_endpoints();
-  void change_endpoint(SimulatedEndpoint& endpoint, EndpointUpdate& update);
-  EndpointUpdate snapshot_of(bool (*is_listed)(EndpointState)) const;
+  void apply_random_change(SimulatedEndpoint& endpoint, EndpointUpdate& update);
+  EndpointUpdate snapshot_matching(bool (*matches)(EndpointState)) const;
 
   void handle(const Event& event);
   void record(const SendAttempt& send);
@@ -60,14 +62,14 @@
 
   LinearCongruentialRandom random_;
   TestReplica replica_;
-  double now_ = 0;
-  std::size_t requests_ = 1;
-  std::size_t addresses_ = 0;
+  Seconds now_ = 0;
+  std::size_t next_request_id_ = 1;
+  std::size_t next_address_number_ = 0;
   std::size_t attempts_ = 0;
   std::size_t retries_ = 0;
   std::vector<SimulatedEndpoint> endpoints_;
-  std::multimap<double, OpenAttempt> open_attempts_;  // by their end
-  std::map<std::string, int> attempts_of_request_;
+  std::multimap<Seconds, OpenAttempt> open_attempts_;  // by end time
+  std::map<std::string, int> attempt_counts_;          // by request id
   EventDigest digest_;
 };
 
--- a/tests/support/simulated_call_chain.cpp
+++ b/tests/support/simulated_call_chain.cpp
@@ -8,7 +8,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr double kRejectionDelay = 0.0005;  // s; until a full server has rejected an attempt
+constexpr Seconds kRejectionDelay = 0.0005;  // between sending an attempt and its rejection by a full server
 
 }  // namespace
 
@@ -23,15 +23,15 @@
 }
 
 void SimulatedCallChain::add_tier(int tier) {
-  const EndpointUpdate list = make_snapshot(scenario_.servers_per_tier);
+  const EndpointUpdate snapshot = make_snapshot(scenario_.servers_per_tier);
   Settings settings = scenario_.settings;
   settings.tier = tier;
   settings.replica_count = tier == 0 ? 1 : scenario_.servers_per_tier;
   for (int i = 0; i < settings.replica_count; ++i) {
     settings.replica_index = i;
     replicas_.push_back(std::make_unique<Balancer>(settings, scenario_.seed * 1000003 + replicas_.size()));
-    std::vector<Action> none;
-    replicas_.back()->handle(0, list, none);
+    std::vector<Action> ignored_actions;
+    replicas_.back()->handle(0, snapshot, ignored_actions);
   }
   servers_.emplace_back(static_cast<std::size_t>(scenario_.servers_per_tier));
 }
@@ -65,21 +65,18 @@
   }
 }
 
-// With equal response times the module's estimate of their spread is zero, and an attempt times out in the
-// instant of its response.
-double SimulatedCallChain::service_time() { return scenario_.mean_service_time * (0.5 + random_.unit()); }
+Seconds SimulatedCallChain::service_time() { return scenario_.mean_service_time * (0.5 + random_.unit()); }
 
-std::size_t SimulatedCallChain::replica_at(int tier, std::size_t server) const {
+std::size_t SimulatedCallChain::replica_index(int tier, std::size_t server) const {
   if (tier == 0) return 0;
   return 1 + static_cast<std::size_t>((tier - 1) * scenario_.servers_per_tier) + server;
 }
 
-// Gives a request to a replica in front of `tier`; returns how to cancel it.
-SimulatedCallChain::Cancel SimulatedCallChain::send_request(int tier, std::size_t replica, double time_left,
+SimulatedCallChain::Cancel SimulatedCallChain::send_request(int tier, std::size_t replica, Seconds time_left,
                                                             Respond respond) {
   ++counts_.tiers[static_cast<std::size_t>(tier)].requests;
-  const std::string id = std::to_string(++sent_requests_);
-  const double deadline = queue_.now() + time_left;
+  const std::string id = std::to_string(++last_request_id_);
+  const Seconds deadline = queue_.now() + time_left;
   auto pending =
       std::make_shared<PendingRequest>(PendingRequest{tier, replica, deadline, std::move(respond), {}});
   requests_[id] = pending;
@@ -94,7 +91,6 @@
   };
 }
 
-// Ends a request on behalf of its client, unless the module has ended it.
 void SimulatedCallChain::abort(const std::string& id, PendingRequest& request) {
   if (finish(request, Response::kFailed)) handle(request.replica, RequestAborted{id});
 }
@@ -108,10 +104,10 @@
 void SimulatedCallChain::handle(std::size_t replica, const Event& event) {
   std::vector<Action> actions;
   replicas_[replica]->handle(queue_.now(), event, actions);
-  for (const Action& action : actions) carry_out(action);
+  for (const Action& action : actions) execute(action);
 }
 
-void SimulatedCallChain::carry_out(const Action& action) {
+void SimulatedCallChain::execute(const Action& action) {
   if (const auto* send = std::get_if<SendAttempt>(&action)) send_attempt(*send);
   if (const auto* reject = std::get_if<RejectRequest>(&action))
     finish(*requests_.at(reject->id), Response::kRejected);
@@ -137,23 +133,24 @@
   request.attempts.push_back(sent);
   queue_.schedule(queue_.now() + send.timeout,
                   [this, id = send.id, attempt] { end_attempt(id, attempt, Outcome::kTimedOut); });
-  const std::optional<Outcome> failure = scenario_.failure(request.tier, queue_.now(), random_.unit());
+  const std::optional<Outcome> failure = scenario_.failure_model(request.tier, queue_.now(), random_.unit());
   if (failure) {
     sent->connect_failed = failure == Outcome::kConnectFailed;
     if (sent->connect_failed) ++counts.connect_failures;
     fail_attempt(send.id, attempt, *failure);
   } else {
-    reach_server(send.id, attempt, request);
+    deliver_attempt(send.id, attempt, request);
   }
 }
 
 void SimulatedCallChain::fail_attempt(const std::string& id, int attempt, Outcome failure) {
-  if (failure == Outcome::kTimedOut) return;  // its timeout ends it
-  const double delay = failure == Outcome::kConnectFailed ? scenario_.connect_timeout : service_time();
+  if (failure == Outcome::kTimedOut)
+    return;  // the timeout that send_attempt() has scheduled ends the attempt
+  const Seconds delay = failure == Outcome::kConnectFailed ? scenario_.connect_timeout : service_time();
   queue_.schedule(queue_.now() + delay, [this, id, attempt, failure] { end_attempt(id, attempt, failure); });
 }
 
-void SimulatedCallChain::reach_server(const std::string& id, int attempt, PendingRequest& request) {
+void SimulatedCallChain::deliver_attempt(const std::string& id, int attempt, PendingRequest& request) {
   const auto tier = static_cast<std::size_t>(request.tier);
   SentAttempt& sent = *request.attempts.back();
   ServerSlots& server = servers_[tier][sent.server];
@@ -164,17 +161,15 @@
   if (server.busy < slots) {
     ++server.busy;
     serve_attempt();
-  } else if (static_cast<int>(server.waiting.size()) < scenario_.queue_length) {
+  } else if (static_cast<int>(server.waiting.size()) < scenario_.max_queue_length) {
     server.waiting.push_back(serve_attempt);
   } else {
-    ++counts_.tiers[tier].rejected_as_full;
+    ++counts_.tiers[tier].rejected_by_full_servers;
     queue_.schedule(queue_.now() + kRejectionDelay,
                     [this, id, attempt] { end_attempt(id, attempt, Outcome::kRejected); });
   }
 }
 
-// In a slot of its server: the server's own work, then the next tier. The slot is occupied to the end; a
-// client that leaves stops no work, but ends the request to the next tier.
 void SimulatedCallChain::serve(const std::string& id, int attempt, int tier, SentAttempt& sent) {
   queue_.schedule(queue_.now() + service_time(),
                   [this, id, attempt, tier, &sent] { forward(id, attempt, tier, sent); });
@@ -185,11 +180,12 @@
     end_attempt(id, attempt, succeeded ? Outcome::kSuccess : Outcome::kServerError);
     release_slot(tier, server);
   };
-  const double time_left = sent.timeout - (queue_.now() - sent.sent_at);
+  const Seconds time_left = sent.timeout - (queue_.now() - sent.sent_at);
   const bool still_awaited = time_left > 0 && sent.open;
   if (tier + 1 == scenario_.tiers || !still_awaited) return done(still_awaited);
-  sent.cancel_next_tier = send_request(tier + 1, replica_at(tier + 1, sent.server), time_left,
-                                       [done](Response response) { done(response == Response::kSucceeded); });
+  sent.cancel_next_tier_request =
+      send_request(tier + 1, replica_index(tier + 1, sent.server), time_left,
+                   [done](Response response) { done(response == Response::kSucceeded); });
 }
 
 void SimulatedCallChain::release_slot(int tier, std::size_t server) {
@@ -208,13 +204,14 @@
   const std::shared_ptr<SentAttempt> sent = request->attempts[static_cast<std::size_t>(attempt)];
   if (!std::exchange(sent->open, false)) return;
   if (outcome == Outcome::kSuccess) {
-    ++counts_.tiers[static_cast<std::size_t>(request->tier)].succeeded;
+    ++counts_.tiers[static_cast<std::size_t>(request->tier)].successful_attempts;
     finish(*request, Response::kSucceeded);
   }
   if (outcome == Outcome::kTimedOut || outcome == Outcome::kCancelled) {
-    if (Cancel cancel = std::exchange(sent->cancel_next_tier, nullptr)) queue_.schedule(queue_.now(), cancel);
+    if (Cancel cancel = std::exchange(sent->cancel_next_tier_request, nullptr))
+      queue_.schedule(queue_.now(), cancel);
   }
-  const double elapsed = queue_.now() - sent->sent_at;
+  const Seconds elapsed = queue_.now() - sent->sent_at;
   handle(request->replica, AttemptResult{id, attempt, outcome, elapsed, !request->respond});
 }
 
--- a/tests/support/simulated_call_chain.h
+++ b/tests/support/simulated_call_chain.h
@@ -1,5 +1,6 @@
-// A chain of services in virtual time: tiers of servers, each server with a replica of the real Balancer
-// through which it sends requests to the next tier. The same scenario and seed give the same counts.
+// Simulation of a chain of services in virtual time. Each server of a tier has a replica of the real
+// Balancer, through which it sends requests to the next tier. The same scenario and seed give the same
+// counts.
 #pragma once
 
 #include <cstddef>
@@ -12,50 +13,54 @@
 #include <vector>
 
 #include "asterdrift/balancer/balancer.h"
+#include "asterdrift/seconds.h"
 #include "support/event_queue.h"
 #include "support/random.h"
 
 namespace asterdrift::balancer {
 
-// Times and durations in seconds.
+// The servers, the load and the failures of one run.
 struct CallChainScenario {
-  // Whether an attempt at a server fails, and how; kTimedOut: it is never answered. `chance` is uniformly
-  // distributed from 0 to 1.
-  using Failure = std::function<std::optional<Outcome>(int tier, double now, double chance)>;
+  // Returns how an attempt at a server fails, if it fails; kTimedOut means that the server never responds.
+  // `draw` is a random number, uniformly distributed from 0 to 1.
+  using FailureModel = std::function<std::optional<Outcome>(int tier, Seconds now, double draw)>;
 
   int tiers = 28;
-  int servers_per_tier = 3;   // one replica stands in front of the first tier
-  Settings settings;          // of each replica, apart from its tier, its index and their count
+  int servers_per_tier = 3;   // a single replica sends to the first tier
+  Settings settings;          // of each replica, except its tier, its index and the number of replicas
   double request_rate = 100;  // requests/s to the first tier
-  double duration = 20;       // during which requests arrive
-  double mean_service_time =
-      0.001;                       // a server's own, without the next tier; each takes half to one and a half
-  int slots = 1000;                // requests that a server handles at a time
-  std::vector<int> slots_by_tier;  // in place of `slots`
-  int queue_length = 0;            // requests that may wait for a slot; a server rejects more
-  double connect_timeout = 0.25;   // after which a failed connection is noticed
-  Failure failure = [](int, double, double) { return std::nullopt; };
+  Seconds duration = 20;      // during which requests arrive
+  // Time that a server itself takes for a request, without the next tier: between 0.5 and 1.5 times the mean.
+  Seconds mean_service_time = 0.001;
+  int slots = 1000;                // requests that a server handles at the same time
+  std::vector<int> slots_by_tier;  // replaces `slots` unless empty
+  int max_queue_length = 0;  // requests that may wait for a slot of a server, which rejects further ones
+  Seconds connect_timeout = 0.25;  // after which an attempt ends whose connection is not established
+  FailureModel failure_model = [](int, Seconds, double) { return std::nullopt; };
   std::uint64_t seed = 1;
 };
 
 // What happened at one tier.
 struct CallChainTierCounts {
-  int requests = 0;          // given to the replicas in front of it
-  int attempts = 0;          // of those requests
+  int requests = 0;  // given to the replicas that send to the tier
+  int attempts = 0;
   int connect_failures = 0;  // attempts whose connection was not established
-  int retries = 0;           // attempts after the first one, apart from those that follow a connect failure
-  int succeeded = 0;         // attempts
-  int rejected_as_full = 0;  // attempts, by servers without a free slot and with a full queue
+  int retries = 0;           // attempts after the first one, except those that follow a connect failure
+  int successful_attempts = 0;
+  int rejected_by_full_servers = 0;  // attempts at servers without a free slot and with a full queue
 };
 
 // What happened to the requests of a run.
 struct CallChainCounts {
-  int requests = 0;  // to the first tier; those that are in none of the next three had no response in time
+  // Requests to the first tier. Those that are counted in none of succeeded, rejected and failed had no
+  // response in time.
+  int requests = 0;
   int succeeded = 0;
   int rejected = 0;
   int failed = 0;
   std::vector<CallChainTierCounts> tiers;
 
+  // Attempts at the last tier for each request to the first tier.
   double attempts_at_last_tier_per_request() const;
 };
 
@@ -63,10 +68,10 @@
 class SimulatedCallChain {
  public:
   explicit SimulatedCallChain(CallChainScenario scenario);
-  SimulatedCallChain(const SimulatedCallChain&) = delete;  // its events refer to it
+  SimulatedCallChain(const SimulatedCallChain&) = delete;  // scheduled events refer to it
   SimulatedCallChain& operator=(const SimulatedCallChain&) = delete;
 
-  // Once for each chain.
+  // May be called once.
   CallChainCounts run();
 
  private:
@@ -76,17 +81,17 @@
 
   struct SentAttempt {
     std::size_t server = 0;
-    double sent_at = 0;
-    double timeout = 0;
+    Seconds sent_at = 0;
+    Seconds timeout = 0;
     bool open = true;
-    bool connect_failed = false;  // its connection will not be established
-    Cancel cancel_next_tier;      // ends the request that its server has sent to the next tier
+    bool connect_failed = false;      // the connection will not be established
+    Cancel cancel_next_tier_request;  // ends the request that the server has sent to the next tier
   };
   struct PendingRequest {
     int tier = 0;
     std::size_t replica = 0;
-    double deadline = 0;
-    Respond respond;  // empty once it has been called
+    Seconds deadline = 0;
+    Respond respond;  // empty after the response
     std::vector<std::shared_ptr<SentAttempt>> attempts;
   };
   struct ServerSlots {
@@ -98,18 +103,27 @@
   void send_first_request();
   void count_response(Response response);
 
-  double service_time();
-  std::size_t replica_at(int tier, std::size_t server) const;
+  // Draws a random service time. It varies because with equal response times the module's estimate of their
+  // spread is zero, and an attempt would time out in the instant of its response.
+  Seconds service_time();
+  // Index of the replica that sends to `tier` for this server of the tier before.
+  std::size_t replica_index(int tier, std::size_t server) const;
 
-  Cancel send_request(int tier, std::size_t replica, double time_left, Respond respond);
+  // Gives a request to a replica that sends to `tier`. Returns a function that cancels the request.
+  Cancel send_request(int tier, std::size_t replica, Seconds time_left, Respond respond);
+  // Ends a request because its client has gone or its deadline has passed, unless the module has ended it.
   void abort(const std::string& id, PendingRequest& request);
+  // Returns whether the request had no response yet.
   bool finish(PendingRequest& request, Response response);
   void handle(std::size_t replica, const Event& event);
-  void carry_out(const Action& action);
+  void execute(const Action& action);
 
   void send_attempt(const SendAttempt& send);
-  void reach_server(const std::string& id, int attempt, PendingRequest& request);
+  void deliver_attempt(const std::string& id, int attempt, PendingRequest& request);
   void fail_attempt(const std::string& id, int attempt, Outcome failure);
+  // Serves an attempt in a slot of its server: the server's own work, then a request to the next tier. The
+  // slot stays occupied to the end. A client that leaves stops no work, but ends the request to the next
+  // tier.
   void serve(const std::string& id, int attempt, int tier, SentAttempt& sent);
   void forward(const std::string& id, int attempt, int tier, SentAttempt& sent);
   void release_slot(int tier, std::size_t server);
@@ -117,12 +131,12 @@
 
   CallChainScenario scenario_;
   support::Random random_;
-  std::uint64_t sent_requests_ = 0;
+  std::uint64_t last_request_id_ = 0;
   EventQueue queue_;
   std::vector<std::unique_ptr<Balancer>> replicas_;
   std::vector<std::vector<ServerSlots>> servers_;  // by tier
-  std::map<std::string, std::shared_ptr<PendingRequest>>
-      requests_;  // finished ones too: events refer to them
+  // By request id. Finished requests stay, because scheduled events refer to them.
+  std::map<std::string, std::shared_ptr<PendingRequest>> requests_;
   CallChainCounts counts_;
 };
 
--- a/tests/support/simulated_fleet/fleet_scenario.h
+++ b/tests/support/simulated_fleet/fleet_scenario.h
@@ -1,57 +1,59 @@
-// What happens in one run of a simulated fleet.
+// Parameters of one run of a simulated fleet.
 #pragma once
 
 #include <cstdint>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::balancer {
 
-// What is wrong with a faulty server.
+// How a faulty server behaves.
 enum class Fault {
   kNone,
   kRejecting,     // rejects every request
-  kFailing,       // answers every request with an error
-  kUnresponsive,  // accepts requests and answers none, from shortly before the start on
-  kSlow,          // takes `slowdown` times as long
-  kPausing,       // stops for a part of every few seconds
+  kFailing,       // responds to every request with an error
+  kUnresponsive,  // accepts requests but never responds, from shortly before FleetScenario::start_at on
+  kSlow,          // takes FleetScenario::slowdown times as long
+  kPausing,       // pauses at the beginning of every few seconds
   kUnreachable    // accepts no connection
 };
 
-// How the set of replicas changes while the settings still name the configured number.
+// How the set of replicas changes while Settings::replica_count stays the configured number.
 enum class ReplicaSetChange { kNone, kHalved, kDoubled, kReplaced };
 
-// Times and durations in seconds. The starting servers start at `start_at`.
+// Some of the servers start during the run, at `start_at`.
 struct FleetScenario {
   int replicas = 30;
   int servers = 14;
   int starting_servers = 1;
   int tier = 0;
-  double rate_per_weight = 20;  // requests/s that a server of weight 1 answers
+  double rate_per_weight = 20;  // requests/s that a server of weight 1 completes
 
-  double load = 0.6;         // requests that arrive, as a fraction of the fleet's capacity
-  double burst_factor = 1;   // the load is multiplied by this during the burst
-  double burst_delay = 0.5;  // from the start of the servers to that of the burst
-  double burst_duration = 6;
-  double quota_fraction = 0.82;  // all tenants' quotas together, as a fraction of the fleet's capacity
+  double load = 0.6;          // rate of arriving requests, as a fraction of the fleet's capacity
+  double burst_factor = 1;    // by which the load is multiplied during the burst
+  Seconds burst_delay = 0.5;  // from `start_at` to the beginning of the burst
+  Seconds burst_duration = 6;
+  double quota_fraction = 0.82;  // sum of all tenants' quotas, as a fraction of the fleet's capacity
 
   double slow_start_capacity = 0.14;
-  double slow_start_duration = 22;
+  Seconds slow_start_duration = 22;
   double overload_multiple = 3;
-  double overload_window = 2;
+  Seconds overload_window = 2;
 
-  double start_at = 12;
-  double end_at = 26;
+  Seconds start_at = 12;
+  Seconds end_at = 26;
   bool restart_after_crash = false;  // the starting servers ran before and crashed; otherwise they are new
-  double min_notification_delay = 0.28;  // from a start until a replica is notified of it
-  double notification_spread = 2;        // each replica is notified up to so much later, at a time of its own
+  Seconds min_notification_delay = 0.28;  // from a server's start until a replica is notified of the start
+  Seconds notification_spread = 2;        // longest random addition to the delay, drawn for each replica
 
   Fault fault = Fault::kNone;
-  double faulty_fraction = 0;    // of the servers that do not start, from the beginning of the run
-  double slowdown = 2;           // factor by which slow servers are slower
-  bool shared_slowdown = false;  // all servers become slow with the start
+  double faulty_fraction = 0;    // of the servers that run from the beginning
+  double slowdown = 2;           // factor by which the service time of slow servers is longer
+  bool shared_slowdown = false;  // all servers become slow at `start_at`
   ReplicaSetChange replica_set_change = ReplicaSetChange::kNone;
 
-  double client_retry_probability = 0.7;  // after a rejection or a failure
-  double work_variation = 0.6;            // standard deviation of a request's work over its mean
+  double client_retry_probability = 0.7;       // after a rejection or a failure
+  double work_coefficient_of_variation = 0.6;  // standard deviation of a request's work over its mean
   std::uint64_t seed = 1;
 };
 
--- a/tests/support/simulated_fleet/overload_window.cpp
+++ b/tests/support/simulated_fleet/overload_window.cpp
@@ -6,10 +6,10 @@
 namespace asterdrift::balancer {
 namespace {
 
-// Sums of the arrivals of the last `duration` seconds.
+// Running sums of the arrivals of the last `duration` seconds.
 class ArrivalWindow {
  public:
-  ArrivalWindow(const std::vector<SlowStartArrival>& arrivals, double duration)
+  ArrivalWindow(const std::vector<SlowStartArrival>& arrivals, Seconds duration)
       : arrivals_(arrivals), duration_(duration) {}
 
   void advance_to(std::size_t last) {
@@ -28,12 +28,13 @@
 
   double attempts() const { return attempts_; }
   double work() const { return work_; }
-  bool attempts_mostly_notified() const { return notified_ * 3 > attempts_ * 2; }
-  bool work_mostly_notified() const { return notified_work_ * 3 > work_ * 2; }
+  // Whether more than two thirds of the load came from replicas that had been notified of the start.
+  bool most_attempts_notified() const { return notified_ * 3 > attempts_ * 2; }
+  bool most_work_notified() const { return notified_work_ * 3 > work_ * 2; }
 
  private:
   const std::vector<SlowStartArrival>& arrivals_;
-  double duration_;
+  Seconds duration_;
   std::size_t first_ = 0;
   double attempts_ = 0;
   double work_ = 0;
@@ -41,14 +42,15 @@
   double notified_work_ = 0;
 };
 
-void keep_smallest_margin(OverloadWindow& smallest, double allowed, double received, double since_start) {
-  const double bearable = allowed + 2 * std::sqrt(allowed) + 2;
-  if (bearable - received >= smallest.margin) return;
-  smallest = {bearable - received, received, bearable, since_start};
+void update_smallest_margin(OverloadWindow& smallest, double allowed, double received,
+                            Seconds time_since_start) {
+  const double limit = allowed + 2 * std::sqrt(allowed) + 2;
+  if (limit - received >= smallest.margin) return;
+  smallest = {limit - received, received, limit, time_since_start};
 }
 
-double possible_attempts(const SimulatedServer& server, const FleetScenario& scenario, double started_at) {
-  const double duration = std::min(scenario.slow_start_duration, scenario.end_at - scenario.start_at);
+double possible_attempts(const SimulatedServer& server, const FleetScenario& scenario, Seconds started_at) {
+  const Seconds duration = std::min(scenario.slow_start_duration, scenario.end_at - scenario.start_at);
   return server.rate() * duration *
          (server.capacity_fraction(started_at) + server.capacity_fraction(started_at + duration)) / 2;
 }
@@ -57,26 +59,28 @@
 
 void measure_slow_start(const SimulatedServer& server, const FleetScenario& scenario, SlowStartLoad& load) {
   if (!server.started_at()) return;
-  const double started_at = *server.started_at();
+  const Seconds started_at = *server.started_at();
   load.attempts_possible += possible_attempts(server, scenario, started_at);
   ArrivalWindow window(server.arrivals(), scenario.overload_window);
   for (std::size_t last = 0; last < server.arrivals().size(); ++last) {
     window.advance_to(last);
-    const double now = server.arrivals()[last].at;
+    const Seconds now = server.arrivals()[last].at;
     if (now > started_at + scenario.slow_start_duration) break;
     ++load.attempts_received;
-    const double window_start = std::max(started_at, now - scenario.overload_window);
+    const Seconds window_start = std::max(started_at, now - scenario.overload_window);
     const double allowed_at_full_capacity =
         scenario.overload_multiple * scenario.overload_window * server.rate();
     const double allowed = allowed_at_full_capacity * server.capacity_fraction((window_start + now) / 2);
-    const double since_start = now - started_at;
-    if (window.attempts_mostly_notified()) {
-      const double allowed_from_start = allowed_at_full_capacity * server.capacity_fraction(window_start);
-      keep_smallest_margin(load.attempts, allowed, window.attempts(), since_start);
-      keep_smallest_margin(load.attempts_from_window_start, allowed_from_start, window.attempts(),
-                           since_start);
+    const Seconds time_since_start = now - started_at;
+    if (window.most_attempts_notified()) {
+      const double allowed_at_window_start =
+          allowed_at_full_capacity * server.capacity_fraction(window_start);
+      update_smallest_margin(load.attempts, allowed, window.attempts(), time_since_start);
+      update_smallest_margin(load.attempts_by_capacity_at_window_start, allowed_at_window_start,
+                             window.attempts(), time_since_start);
     }
-    if (window.work_mostly_notified()) keep_smallest_margin(load.work, allowed, window.work(), since_start);
+    if (window.most_work_notified())
+      update_smallest_margin(load.work, allowed, window.work(), time_since_start);
   }
 }
 
--- a/tests/support/simulated_fleet/overload_window.h
+++ b/tests/support/simulated_fleet/overload_window.h
@@ -1,32 +1,35 @@
-// How close the load of starting servers comes to what they can bear.
+// Measures how close the load of starting servers comes to the load at which they fail.
 #pragma once
 
 #include <limits>
 
+#include "asterdrift/seconds.h"
 #include "support/simulated_fleet/simulated_server.h"
 
 namespace asterdrift::balancer {
 
-// What a starting server received within overload_window seconds, against what it bears: N + 2 x sqrt(N) + 2,
-// N being the requests that the settings allow then.
+// The load that a starting server received within overload_window seconds, compared with a limit of
+// N + 2 x sqrt(N) + 2, where N is the load that the settings allow at that time.
 struct OverloadWindow {
-  double margin = std::numeric_limits<double>::infinity();  // what is bearable less what was received
+  double margin = std::numeric_limits<double>::infinity();  // `limit` minus `received`
   double received = 0;
-  double bearable = 0;
-  double since_start = 0;  // s
+  double limit = 0;
+  Seconds time_since_start = 0;  // at the end of the window
 };
 
-// The load of all starting servers of a run. The windows are the ones with the smallest margin; windows in
-// which a third or more came from replicas that had not been notified of the start do not count.
+// The load of all starting servers of a run. Each window is the one with the smallest margin. Windows in
+// which a third or more of the load came from replicas that had not been notified of the start are left out.
 struct SlowStartLoad {
-  OverloadWindow attempts;                    // N by the capacity in the middle of the window
-  OverloadWindow work;                        // the same in requests of mean work
-  OverloadWindow attempts_from_window_start;  // attempts; N by the capacity at the beginning of the window
-  double attempts_received = 0;               // within slow_start_duration after the start
-  double attempts_possible = 0;               // in that time, with the capacity that the settings give
+  OverloadWindow attempts;  // N follows from the capacity in the middle of the window
+  OverloadWindow work;      // like `attempts`, but counts the attempts' work in requests of mean work
+  // Like `attempts`, but N follows from the capacity at the beginning of the window.
+  OverloadWindow attempts_by_capacity_at_window_start;
+  // Within slow_start_duration after the start, or until end_at.
+  double attempts_received = 0;
+  double attempts_possible = 0;  // with the capacity that the settings give
 };
 
-// Adds the load of one started server.
+// Adds the load of one server to `load`, if the server started during the run.
 void measure_slow_start(const SimulatedServer& server, const FleetScenario& scenario, SlowStartLoad& load);
 
 }  // namespace asterdrift::balancer
--- a/tests/support/simulated_fleet/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet/simulated_fleet.cpp
@@ -11,21 +11,22 @@
 namespace {
 
 constexpr double kOverQuotaPriorityWeight = 0.1;
-constexpr double kClockGranularity = 0.005;  // s
+constexpr Seconds kClockGranularity = 0.005;
 constexpr int kMaxAttempts = 5;
-constexpr double kMaxRetryAfter = 2;  // s
+constexpr Seconds kMaxRetryAfter = 2;
 
 constexpr int kServersPerCell = 6;
-constexpr double kMinRelativeRate = 0.85;  // of what a server's weight promises
+// A server's actual rate relative to the rate that follows from its weight.
+constexpr double kMinRelativeRate = 0.85;
 constexpr double kRelativeRateSpread = 0.3;
 
-constexpr double kMinNetworkDelay = 0.0005;    // s
-constexpr double kNetworkDelaySpread = 0.004;  // s
+constexpr Seconds kMinNetworkDelay = 0.0005;
+constexpr Seconds kNetworkDelaySpread = 0.004;
 
-constexpr double kCrashBeforeStart = 1.2;          // s
-constexpr double kHalvingBeforeStart = 0.5;        // s
-constexpr double kReplicaChangeAfterStart = 0.05;  // s
-constexpr double kReplicaChangeDuration = 3;       // s
+constexpr Seconds kTimeFromCrashToStart = 1.2;
+constexpr Seconds kTimeFromHalvingToStart = 0.5;  // ReplicaSetChange::kHalved
+constexpr Seconds kTimeFromStartToReplicaChange = 0.05;
+constexpr Seconds kReplicaChangeDuration = 3;
 
 std::vector<RequestClass> request_classes() {
   RequestClass keyed = make_request_class(Idempotency::kIdempotencyKey);
@@ -57,7 +58,7 @@
 }
 
 FleetCounts SimulatedFleet::run() {
-  for (std::size_t replica = 0; replica < replicas_.size(); ++replica) open_replica(replica);
+  for (std::size_t replica = 0; replica < replicas_.size(); ++replica) start_replica(replica);
   const auto starting = static_cast<std::size_t>(scenario_.starting_servers);
   for (std::size_t server = 0; server < starting; ++server) schedule_start(server);
   schedule_replica_set_change();
@@ -125,48 +126,47 @@
   replica.balancer = std::make_unique<Balancer>(settings, random_.next());
   replica.notified.resize(servers_.size());
   replicas_.push_back(std::move(replica));
-  open_replicas_.push_back(replicas_.size() - 1);
+  running_replicas_.push_back(replicas_.size() - 1);
 }
 
-// A process starts: its first list is what discovery has now, a start of just now included.
-void SimulatedFleet::open_replica(std::size_t replica) {
+void SimulatedFleet::start_replica(std::size_t replica) {
   handle(replica, Started{});
-  EndpointUpdate list;
+  EndpointUpdate snapshot;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     if (!servers_[i].running()) continue;
-    list.endpoints.push_back(servers_[i].endpoint());
+    snapshot.endpoints.push_back(servers_[i].endpoint());
     replicas_[replica].notified[i] = servers_[i].started_at().has_value();
   }
-  handle(replica, list);
+  handle(replica, snapshot);
 }
 
-void SimulatedFleet::close_replica(std::size_t replica) {
-  replicas_[replica].alive = false;
-  open_replicas_.erase(std::find(open_replicas_.begin(), open_replicas_.end(), replica));
+void SimulatedFleet::stop_replica(std::size_t replica) {
+  replicas_[replica].running = false;
+  running_replicas_.erase(std::find(running_replicas_.begin(), running_replicas_.end(), replica));
 }
 
 void SimulatedFleet::schedule_replica_set_change() {
   const std::size_t count = replicas_.size();
   const ReplicaSetChange change = scenario_.replica_set_change;
   if (change == ReplicaSetChange::kHalved) {
-    queue_.schedule(scenario_.start_at - kHalvingBeforeStart, [this, count] {
-      for (std::size_t replica = 0; replica < count; replica += 2) close_replica(replica);
+    queue_.schedule(scenario_.start_at - kTimeFromHalvingToStart, [this, count] {
+      for (std::size_t replica = 0; replica < count; replica += 2) stop_replica(replica);
     });
   }
   if (change != ReplicaSetChange::kDoubled && change != ReplicaSetChange::kReplaced) return;
   for (std::size_t replica = 0; replica < count; ++replica) {
-    const double delay = kReplicaChangeDuration * static_cast<double>(replica) / static_cast<double>(count);
-    queue_.schedule(scenario_.start_at + kReplicaChangeAfterStart + delay, [this, replica, change] {
+    const Seconds delay = kReplicaChangeDuration * static_cast<double>(replica) / static_cast<double>(count);
+    queue_.schedule(scenario_.start_at + kTimeFromStartToReplicaChange + delay, [this, replica, change] {
       add_replica(Settings(replicas_[replica].settings));
-      open_replica(replicas_.size() - 1);
-      if (change == ReplicaSetChange::kReplaced) close_replica(replica);
+      start_replica(replicas_.size() - 1);
+      if (change == ReplicaSetChange::kReplaced) stop_replica(replica);
     });
   }
 }
 
 void SimulatedFleet::schedule_start(std::size_t server) {
   if (scenario_.restart_after_crash) {
-    queue_.schedule(scenario_.start_at - kCrashBeforeStart, [this, server] { servers_[server].crash(); });
+    queue_.schedule(scenario_.start_at - kTimeFromCrashToStart, [this, server] { servers_[server].crash(); });
   }
   queue_.schedule(scenario_.start_at, [this, server] { start_server(server); });
 }
@@ -174,23 +174,23 @@
 void SimulatedFleet::start_server(std::size_t server) {
   servers_[server].start();
   for (std::size_t replica = 0; replica < replicas_.size(); ++replica) {
-    const double earliest = queue_.now() + scenario_.min_notification_delay;
+    const Seconds earliest = queue_.now() + scenario_.min_notification_delay;
     queue_.schedule(earliest + scenario_.notification_spread * random_.unit(),
                     [this, replica, server] { notify_of_start(replica, server); });
   }
 }
 
 void SimulatedFleet::notify_of_start(std::size_t replica, std::size_t server) {
-  if (!replicas_[replica].alive || replicas_[replica].notified[server]) return;
+  if (!replicas_[replica].running || replicas_[replica].notified[server]) return;
   replicas_[replica].notified[server] = true;
   handle(replica, EndpointUpdate{EndpointUpdate::Form::kIncremental, {servers_[server].endpoint()}});
 }
 
 void SimulatedFleet::send_request(const ClientRequest& client) {
-  const auto open = static_cast<double>(open_replicas_.size());
-  const std::size_t replica = open_replicas_[static_cast<std::size_t>(random_.unit() * open)];
+  const auto running = static_cast<double>(running_replicas_.size());
+  const std::size_t replica = running_replicas_[static_cast<std::size_t>(random_.unit() * running)];
   Request request;
-  request.id = std::to_string(client.request_class) + "-" + std::to_string(++sent_requests_);
+  request.id = std::to_string(client.request_class) + "-" + std::to_string(++last_request_number_);
   request.tenant = client.tenant;
   request.request_class = client.request_class;
   request.time_left = client.deadline - queue_.now();
@@ -198,37 +198,37 @@
   PendingRequest& pending = replicas_[replica].requests[request.id];
   pending.client = client;
   ++pending.client.tries;
-  queue_.schedule(client.deadline, [this, replica, id = request.id] { give_up_request(replica, id); });
+  queue_.schedule(client.deadline, [this, replica, id = request.id] { abort_request(replica, id); });
   handle(replica, request);
 }
 
-void SimulatedFleet::give_up_request(std::size_t replica, const std::string& id) {
-  replicas_[replica].requests.at(id).answered = true;
-  if (replicas_[replica].alive) handle(replica, RequestAborted{id});
+void SimulatedFleet::abort_request(std::size_t replica, const std::string& id) {
+  replicas_[replica].requests.at(id).finished = true;
+  if (replicas_[replica].running) handle(replica, RequestAborted{id});
 }
 
-void SimulatedFleet::end_request(std::size_t replica, const std::string& id, double retry_after) {
+void SimulatedFleet::finish_request(std::size_t replica, const std::string& id, Seconds retry_after) {
   PendingRequest& request = replicas_[replica].requests.at(id);
-  if (request.answered) return;
-  request.answered = true;
-  traffic_->retry_later(request.client, retry_after);
+  if (request.finished) return;
+  request.finished = true;
+  traffic_->schedule_retry(request.client, retry_after);
 }
 
 void SimulatedFleet::handle(std::size_t replica, const Event& event) {
   std::vector<Action> actions;
   replicas_[replica].balancer->handle(queue_.now(), event, actions);
-  for (const Action& action : actions) carry_out(replica, action);
+  for (const Action& action : actions) execute(replica, action);
 }
 
-void SimulatedFleet::carry_out(std::size_t replica, const Action& action) {
+void SimulatedFleet::execute(std::size_t replica, const Action& action) {
   if (const auto* send = std::get_if<SendAttempt>(&action)) send_attempt(replica, *send);
   if (const auto* reject = std::get_if<RejectRequest>(&action)) {
     ++counts_.rejected;
-    end_request(replica, reject->id, reject->retry_after);
+    finish_request(replica, reject->id, reject->retry_after);
   }
   if (const auto* fail = std::get_if<FailRequest>(&action)) {
     ++counts_.failed;
-    end_request(replica, fail->id, 0);
+    finish_request(replica, fail->id, 0);
   }
   if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
     const FleetAttempt attempt{replica, cancel->id, cancel->attempt, 0, queue_.now()};
@@ -236,7 +236,7 @@
   }
 }
 
-double SimulatedFleet::arrival_time() {
+Seconds SimulatedFleet::message_arrival_time() {
   return queue_.now() + kMinNetworkDelay + kNetworkDelaySpread * random_.unit();
 }
 
@@ -247,35 +247,34 @@
   request.attempt_ended.push_back(false);
   const FleetAttempt attempt{replica, send.id, number, request.client.work, queue_.now()};
   const std::size_t server = server_index(send.endpoint);
-  queue_.schedule(arrival_time(), [this, server, attempt] {
+  queue_.schedule(message_arrival_time(), [this, server, attempt] {
     servers_[server].receive(attempt, replicas_[attempt.replica].notified[server]);
   });
   queue_.schedule(queue_.now() + send.timeout, [this, attempt] { end_attempt(attempt, Outcome::kTimedOut); });
 }
 
 void SimulatedFleet::respond(const FleetAttempt& attempt, Outcome outcome) {
-  queue_.schedule(arrival_time(), [this, attempt, outcome] { end_attempt(attempt, outcome); });
+  queue_.schedule(message_arrival_time(), [this, attempt, outcome] { end_attempt(attempt, outcome); });
 }
 
-// The attempt's first end counts, provided that its replica is still there.
 void SimulatedFleet::end_attempt(const FleetAttempt& attempt, Outcome outcome) {
   Replica& replica = replicas_[attempt.replica];
-  if (!replica.alive) return;
+  if (!replica.running) return;
   PendingRequest& request = replica.requests.at(attempt.request_id);
   const auto number = static_cast<std::size_t>(attempt.number);
   if (number >= request.attempt_ended.size() || request.attempt_ended[number]) return;
   request.attempt_ended[number] = true;
   if (outcome == Outcome::kSuccess) record_success(request);
   handle(attempt.replica, AttemptResult{attempt.request_id, attempt.number, outcome,
-                                        queue_.now() - attempt.sent_at, request.answered});
+                                        queue_.now() - attempt.sent_at, request.finished});
 }
 
 void SimulatedFleet::record_success(PendingRequest& request) {
-  if (request.answered) return;
-  request.answered = true;
+  if (request.finished) return;
+  request.finished = true;
   ++counts_.succeeded;
   const RequestClass& request_class = classes_[request.client.request_class];
-  const double objective_at =
+  const Seconds objective_at =
       request.client.deadline - (request_class.timeout - request_class.latency_objective);
   if (queue_.now() <= objective_at) ++counts_.within_objective;
 }
--- a/tests/support/simulated_fleet/simulated_fleet.h
+++ b/tests/support/simulated_fleet/simulated_fleet.h
@@ -1,6 +1,6 @@
-// A fleet in virtual time: replicas of the real Balancer in front of simulated servers, some of which start
-// during the run, with requests that arrive at random, tenants beyond their quotas and clients that retry.
-// The same scenario and seed give the same counts.
+// Simulation of a fleet in virtual time: replicas of the real Balancer send requests to simulated servers,
+// some of which start during the run. Requests arrive at random, tenants exceed their quotas, and clients
+// retry. The same scenario and seed give the same counts.
 #pragma once
 
 #include <cstddef>
@@ -24,13 +24,13 @@
 struct FleetCounts {
   SlowStartLoad slow_start;
   int requests = 0;          // without retries of clients
-  int succeeded = 0;         // requests answered before their client gave up
-  int within_objective = 0;  // requests answered within the latency objective
-  int rejected = 0;          // final responses, those to retries of clients included
-  int failed = 0;            // the same
+  int succeeded = 0;         // requests with a successful response before their client gave up
+  int within_objective = 0;  // requests with a successful response within the latency objective
+  int rejected = 0;          // rejections, including those of retries of clients
+  int failed = 0;            // failures, including those of retries of clients
   int attempts = 0;          // sent to servers
 
-  // Attempts that the starting servers received, as a fraction of those that they could have answered.
+  // Attempts that the starting servers received, as a fraction of those that they could have completed.
   double slow_start_utilization() const;
 };
 
@@ -38,23 +38,23 @@
 class SimulatedFleet {
  public:
   explicit SimulatedFleet(const FleetScenario& scenario);
-  SimulatedFleet(const SimulatedFleet&) = delete;  // its events refer to it
+  SimulatedFleet(const SimulatedFleet&) = delete;  // scheduled events refer to it
   SimulatedFleet& operator=(const SimulatedFleet&) = delete;
 
-  // Once for each fleet.
+  // May be called once.
   FleetCounts run();
 
  private:
   struct PendingRequest {
     ClientRequest client;
-    bool answered = false;            // or its client has given up
-    std::vector<bool> attempt_ended;  // by number of the attempt
+    bool finished = false;            // a response was sent, or the client has given up
+    std::vector<bool> attempt_ended;  // by attempt number
   };
   struct Replica {
     std::unique_ptr<Balancer> balancer;
     Settings settings;
-    bool alive = true;
-    std::vector<bool> notified;  // by server: of its start
+    bool running = true;
+    std::vector<bool> notified;  // of the server's start, by server
     std::unordered_map<std::string, PendingRequest> requests;
   };
 
@@ -63,36 +63,40 @@
   void add_replica(const Settings& settings);
   Settings replica_settings() const;
 
-  void open_replica(std::size_t replica);
-  void close_replica(std::size_t replica);
+  // Sends a new replica its first endpoint list, which includes servers that have only just started.
+  void start_replica(std::size_t replica);
+  void stop_replica(std::size_t replica);
   void schedule_replica_set_change();
   void schedule_start(std::size_t server);
   void start_server(std::size_t server);
   void notify_of_start(std::size_t replica, std::size_t server);
 
   void send_request(const ClientRequest& client);
-  void give_up_request(std::size_t replica, const std::string& id);
-  void end_request(std::size_t replica, const std::string& id, double retry_after);
+  void abort_request(std::size_t replica, const std::string& id);
+  void finish_request(std::size_t replica, const std::string& id, Seconds retry_after);
 
   void handle(std::size_t replica, const Event& event);
-  void carry_out(std::size_t replica, const Action& action);
+  void execute(std::size_t replica, const Action& action);
   void send_attempt(std::size_t replica, const SendAttempt& send);
   void respond(const FleetAttempt& attempt, Outcome outcome);
+  // Reports the outcome to the replica, unless the attempt has already ended or the replica has stopped.
   void end_attempt(const FleetAttempt& attempt, Outcome outcome);
   void record_success(PendingRequest& request);
 
-  double arrival_time();  // of a message that is sent now
+  // Draws the arrival time of a message that is sent now.
+  Seconds message_arrival_time();
 
   FleetScenario scenario_;
   std::vector<RequestClass> classes_;
   EventQueue queue_;
   SimulationRandom random_;
-  double capacity_ = 0;                  // requests/s of all servers together
-  std::deque<SimulatedServer> servers_;  // events refer to its elements; the first ones start during the run
-  std::vector<Replica> replicas_;        // closed ones included
-  std::vector<std::size_t> open_replicas_;
+  double capacity_ = 0;  // requests/s of all servers together
+  // The first ones start during the run. A deque, because scheduled events refer to its elements.
+  std::deque<SimulatedServer> servers_;
+  std::vector<Replica> replicas_;              // including stopped ones
+  std::vector<std::size_t> running_replicas_;  // indexes into replicas_
   std::unique_ptr<ClientTraffic> traffic_;
-  std::size_t sent_requests_ = 0;
+  std::size_t last_request_number_ = 0;
   FleetCounts counts_;
 };
 
--- a/tests/support/simulated_fleet/simulated_server.cpp
+++ b/tests/support/simulated_fleet/simulated_server.cpp
@@ -7,12 +7,13 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr std::size_t kQueueLengthPerSlot = 6;    // attempts; more are rejected
-constexpr std::size_t kCrowdedLengthPerSlot = 2;  // attempts; with more waiting the server is slower
-constexpr double kCrowdedSpeed = 0.6;             // of its usual speed
-constexpr double kUnresponsiveBeforeStart = 2;    // s
-constexpr double kPausePeriod = 3;                // s
-constexpr double kPauseDuration = 0.4;            // s; at the beginning of each period
+constexpr std::size_t kMaxQueuedAttemptsPerSlot = 6;  // further attempts are rejected
+// With more queued attempts per slot than this, a server works at the given fraction of its usual speed.
+constexpr std::size_t kCongestedAttemptsPerSlot = 2;
+constexpr double kCongestedSpeedFactor = 0.6;
+constexpr Seconds kTimeFromUnresponsiveToStart = 2;
+constexpr Seconds kPausePeriod = 3;
+constexpr Seconds kPauseDuration = 0.4;  // at the beginning of each period
 
 }  // namespace
 
@@ -38,10 +39,10 @@
   waiting_.clear();
 }
 
-double SimulatedServer::capacity_fraction(double when) const {
+double SimulatedServer::capacity_fraction(Seconds time) const {
   if (!started_at_) return 1;
-  const double warmed = (1 - scenario_.slow_start_capacity) * std::max(0.0, when - *started_at_);
-  return std::min(1.0, scenario_.slow_start_capacity + warmed / scenario_.slow_start_duration);
+  const double warm_up_gain = (1 - scenario_.slow_start_capacity) * std::max(0.0, time - *started_at_);
+  return std::min(1.0, scenario_.slow_start_capacity + warm_up_gain / scenario_.slow_start_duration);
 }
 
 void SimulatedServer::receive(const FleetAttempt& attempt, bool sender_notified) {
@@ -55,30 +56,31 @@
     case Fault::kFailing:
       return respond_(attempt, Outcome::kServerError);
     case Fault::kUnresponsive:
-      if (queue_.now() > scenario_.start_at - kUnresponsiveBeforeStart) return;
+      if (queue_.now() > scenario_.start_at - kTimeFromUnresponsiveToStart) return;
       break;
     default:
       break;
   }
   if (busy_slots_ < slots_) return serve(attempt);
-  if (waiting_.size() >= kQueueLengthPerSlot * slots_) return respond_(attempt, Outcome::kRejected);
+  if (waiting_.size() >= kMaxQueuedAttemptsPerSlot * slots_) return respond_(attempt, Outcome::kRejected);
   waiting_.push_back(attempt);
 }
 
-double SimulatedServer::service_time(double work) const {
-  const double now = queue_.now();
-  double duration = work * static_cast<double>(slots_) / (rate_ * capacity_fraction(now));
-  if (waiting_.size() > kCrowdedLengthPerSlot * slots_) duration /= kCrowdedSpeed;
+Seconds SimulatedServer::service_time(double work) const {
+  const Seconds now = queue_.now();
+  Seconds duration = work * static_cast<double>(slots_) / (rate_ * capacity_fraction(now));
+  if (waiting_.size() > kCongestedAttemptsPerSlot * slots_) duration /= kCongestedSpeedFactor;
   if (fault_ == Fault::kSlow) duration *= scenario_.slowdown;
   if (scenario_.shared_slowdown && now > scenario_.start_at) duration *= scenario_.slowdown;
-  const double since_pause = std::fmod(now, kPausePeriod);
-  if (fault_ == Fault::kPausing && since_pause < kPauseDuration) duration += kPauseDuration - since_pause;
+  const Seconds time_in_period = std::fmod(now, kPausePeriod);
+  if (fault_ == Fault::kPausing && time_in_period < kPauseDuration)
+    duration += kPauseDuration - time_in_period;
   return duration;
 }
 
 void SimulatedServer::serve(const FleetAttempt& attempt) {
   ++busy_slots_;
-  const double finished_at = queue_.now() + service_time(attempt.work);
+  const Seconds finished_at = queue_.now() + service_time(attempt.work);
   queue_.schedule(finished_at, [this, attempt, incarnation = incarnation_] {
     if (incarnation != incarnation_) return respond_(attempt, Outcome::kConnectionReset);
     finish(attempt);
--- a/tests/support/simulated_fleet/simulation_random.cpp
+++ b/tests/support/simulated_fleet/simulation_random.cpp
@@ -14,8 +14,8 @@
   return radius * std::cos(2 * std::numbers::pi * unit());
 }
 
-double SimulationRandom::lognormal(double variation) {
-  const double log_variance = std::log(1 + variation * variation);
+double SimulationRandom::lognormal(double coefficient_of_variation) {
+  const double log_variance = std::log(1 + coefficient_of_variation * coefficient_of_variation);
   return std::exp(std::sqrt(log_variance) * normal() - log_variance / 2);
 }
 
--- a/tests/support/simulated_fleet/simulation_random.h
+++ b/tests/support/simulated_fleet/simulation_random.h
@@ -1,4 +1,4 @@
-// Random numbers of a simulation: the same seed gives the same numbers.
+// Reproducible random numbers for simulations.
 #pragma once
 
 #include <cstdint>
@@ -6,14 +6,17 @@
 
 namespace asterdrift::balancer {
 
+// The same seed gives the same numbers.
 class SimulationRandom {
  public:
   explicit SimulationRandom(std::uint64_t seed) : engine_(seed) {}
 
   std::uint64_t next() { return engine_(); }
-  double unit();                       // uniform, from 0 to below 1
-  double exponential(double mean);     // exponentially distributed
-  double lognormal(double variation);  // log-normally distributed around 1; variation: deviation over mean
+  // Uniform in [0, 1).
+  double unit();
+  double exponential(double mean);
+  // Log-normally distributed with a mean of 1. The coefficient is the standard deviation over the mean.
+  double lognormal(double coefficient_of_variation);
 
  private:
   double normal();
--- a/tests/support/steady_load.cpp
+++ b/tests/support/steady_load.cpp
@@ -8,13 +8,13 @@
   return settings;
 }
 
-int send_steady_load(TestReplica& replica, double start, double seconds, double rate,
-                     const std::string& prefix, Outcome outcome) {
+int send_steady_load(TestReplica& replica, Seconds start, Seconds duration, double rate,
+                     const std::string& id_prefix, Outcome outcome) {
   int admitted = 0;
-  const int requests = static_cast<int>(seconds * rate);
+  const int requests = static_cast<int>(duration * rate);
   for (int i = 0; i < requests; ++i) {
     replica.now = start + i / rate;
-    const std::string id = prefix + std::to_string(i);
+    const std::string id = id_prefix + std::to_string(i);
     if (actions_of_type<SendAttempt>(replica.request(id)).empty()) continue;
     ++admitted;
     const auto actions = replica.end_attempt(id, outcome);
