--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -55,7 +55,7 @@
   EXPECT_DOUBLE_EQ(replica.balancer.tenant(1.65, 0).suppression_factor, 0);
 }
 
-// Sends requests at the same time, which succeed at once. Returns the number of admitted requests.
+// Sends requests that all arrive at `time` and succeed at once. Returns the number of admitted requests.
 int send_at_once(TestReplica& replica, Seconds time, int requests, const std::string& id_prefix) {
   int admitted = 0;
   for (int i = 0; i < requests; ++i) {
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -13,8 +13,8 @@
 namespace asterdrift::balancer {
 namespace {
 
-// Sends a request whose body is still arriving. Returns the address of its endpoint, which is
-// empty if the request was rejected.
+// Sends a request whose body is still arriving. Returns the address of the request's endpoint, which is empty
+// if the request was rejected.
 std::string request_with_arriving_body(TestReplica& replica, const std::string& id) {
   Request request;
   request.id = id;
@@ -203,8 +203,8 @@
   EXPECT_GT(counts.rejected, 2 * counts.admitted);
 }
 
-// The share of each of many replicas in an endpoint's capacity is less than one request. Counted in whole
-// requests, it would make a replica with a few requests in flight reject the next one while endpoints are
+// Each of many replicas has a share of less than one request in an endpoint's capacity. A limit in whole
+// requests would make a replica with a few requests in flight reject the next request while endpoints are
 // idle.
 TEST(ConcurrencyLimit, ManyReplicasDoNotRejectWhileEndpointsAreIdle) {
   const TrafficCounts counts =
@@ -213,7 +213,8 @@
   EXPECT_LE(counts.rejected, counts.admitted / 30);
 }
 
-// A replica with few requests learns the usual latency of its tier late.
+// A replica with few requests learns the usual latency of its tier late, and must not reject requests until
+// then.
 TEST(ConcurrencyLimit, FirstRequestsAreServedBeforeUsualLatencyIsLearned) {
   for (const double rate : {6.0, 10.0}) {
     const TrafficCounts counts = simulate(
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -47,7 +47,7 @@
   return replica.balancer.endpoints(replica.now).examined;
 }
 
-// The expected digests are those of a balancer that examines every endpoint. They cover the log lines too.
+// The expected digests are those of a balancer that examines every endpoint. The digests cover log lines too.
 TEST(EndpointScale, DecisionsMatchExhaustiveSearchInSmallFleets) {
   const std::map<std::size_t, std::uint64_t> expected_digests = {
       {7, 0xd521f1c56395b2adU}, {20, 0xdb595e1d83a5a9d5U}, {64, 0x74fd6b5fbbef9f5fU}};
@@ -131,7 +131,7 @@
   }
   const std::uint64_t examined_before = examined_endpoints(replica);
   EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 27000U);
-  EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the 27 endpoints of its subset
+  EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the subset's 27 endpoints
 }
 
 // The addresses of the endpoints that a replica sends requests to while all endpoints are healthy.
@@ -197,7 +197,7 @@
 
 // A fleet in which one endpoint of replica 0's subset shares its cell and zone with only one other endpoint.
 // The subset is the first eight endpoints in the order of the address hashes; the other endpoint is far from
-// them.
+// the subset in that order.
 struct FleetWithIsolatedPair {
   EndpointUpdate snapshot = make_fleet_snapshot(7000);
   std::string address_in_subset, other_address;
@@ -246,8 +246,8 @@
   }
 }
 
-// Only one of many endpoints has warmed up. Each request examines some of them, and the next request
-// continues with those that follow, until one of the requests finds it.
+// Only one of many endpoints has warmed up. Each request examines some endpoints and the next request
+// continues with the endpoints that follow, until a request finds the warm one.
 TEST(EndpointScale, OnlyWarmEndpointIsFoundByLaterRequests) {
   Settings settings = settings_for_many_replicas();
   settings.slow_start_capacity = 0.001;
--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -21,7 +21,8 @@
   EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// The weights count also for a replica with no requests in flight, to which all endpoints look equally busy.
+// Selection must follow the weights even when a replica has no requests in flight and all endpoints look
+// equally busy to it.
 TEST(EndpointSelection, SelectionIsProportionalToWeight) {
   TestReplica replica(basic_settings());
   EndpointUpdate snapshot = make_snapshot(2);
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -60,8 +60,8 @@
   EXPECT_GT(attempts["s1"], 3) << "without an occasional request a slow endpoint never recovers";
 }
 
-// Attempts of a request that is not idempotent end only with the client's timeout, so the endpoint has to be
-// avoided while they are still open.
+// Attempts of a request that is not idempotent end only with the client's timeout, so an unresponsive
+// endpoint has to be avoided while its attempts are still open.
 TEST(OutlierDetection, UnresponsiveEndpointIsAvoidedBeforeItsAttemptsEnd) {
   TestReplica replica(basic_settings(make_request_class(Idempotency::kNotIdempotent)));
   replica.handle(0, make_snapshot(4));
@@ -80,7 +80,7 @@
   EXPECT_LE(unanswered, 4);
 }
 
-// If all endpoints fail for a shared reason, judging each endpoint alone would leave none to send requests
+// When all endpoints fail for a shared reason, ejecting each of them would leave no endpoint to send requests
 // to.
 TEST(OutlierDetection, RequestsAreSentWhenAllEndpointsFail) {
   TestReplica replica(settings_with_large_quota());
@@ -103,7 +103,7 @@
   snapshot.endpoints[4].state = EndpointState::kDraining;
   replica.handle(0, snapshot);
   EXPECT_EQ(replica.balancer.endpoints(0).listed, 5U);
-  EXPECT_EQ(replica.balancer.endpoints(0).unavailable, 1U) << "the draining one";
+  EXPECT_EQ(replica.balancer.endpoints(0).unavailable, 1U) << "the draining endpoint";
   for (int i = 0; i < 200; ++i) {
     const std::string id = std::to_string(i);
     replica.now += 0.02;
@@ -113,8 +113,10 @@
     const std::vector<SendAttempt> retry = actions_of_type<SendAttempt>(replica.end_attempt(id, outcome));
     if (!retry.empty()) replica.end_attempt(id, Outcome::kSuccess, 1);
   }
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 2U) << "and the failing one";
-  EXPECT_EQ(replica.balancer.endpoints(replica.now + 60).unavailable, 1U) << "the failing one is readmitted";
+  EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 2U)
+      << "the draining and the failing endpoint";
+  EXPECT_EQ(replica.balancer.endpoints(replica.now + 60).unavailable, 1U)
+      << "the failing endpoint is readmitted";
   replica.handle(replica.now, make_update(make_endpoint(4), EndpointState::kRemoved));
   EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 4U);
 }
--- a/tests/balancer/rate_limit_feedback_test.cpp
+++ b/tests/balancer/rate_limit_feedback_test.cpp
@@ -45,7 +45,7 @@
 TEST(RateLimitFeedback, ErrorsAndResetConnectionsDoNotChangeRateLimit) {
   for (const Outcome outcome : {Outcome::kServerError, Outcome::kConnectionReset, Outcome::kUnknown}) {
     EXPECT_GE(rate_limit_change(outcome, 3), 1);  // the successes between the errors may raise the limit
-    EXPECT_DOUBLE_EQ(rate_limit_change(outcome, 1), 1);  // errors alone do not
+    EXPECT_DOUBLE_EQ(rate_limit_change(outcome, 1), 1);  // errors alone do not change the limit
   }
 }
 
@@ -55,8 +55,8 @@
   }
 }
 
-// A rate limit that fell with each error would make a tier with capacity for all requests reject most of
-// them.
+// A rate limit that fell with each error would make a tier reject most requests although it has the capacity
+// for all of them.
 TEST(RateLimitFeedback, OtherRequestsAreServedWhileHalfOfThemFail) {
   for (const int failing_tier : {0, 1}) {
     for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNotIdempotent}) {
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -83,8 +83,8 @@
 }
 
 // If many replicas each limited a starting endpoint to its guaranteed capacity and also weighted it by that
-// capacity, the endpoint would stay idle next to congested ones. It gets more requests when it responds as
-// fast as the other endpoints, and only then.
+// capacity, the endpoint would stay idle next to congested ones. A starting endpoint gets more requests when
+// it responds as fast as the other endpoints, and only then.
 TEST(SlowStart, FastStartingEndpointGetsMoreRequestsThanSlowOne) {
   const auto fast = count_between(attempts_at_starting_endpoint(1), 114, 120);
   const auto slow = count_between(attempts_at_starting_endpoint(3), 114, 120);
--- a/tests/support/event_queue.h
+++ b/tests/support/event_queue.h
@@ -19,7 +19,7 @@
 
   void schedule(Seconds at, std::function<void()> run);
 
-  // Runs all events whose time is at most `end`, including events that are scheduled meanwhile.
+  // Runs all events whose time is at most `end`, including events that these events schedule.
   void run_until(Seconds end = std::numeric_limits<double>::infinity());
 
  private:
--- a/tests/support/random_event_stream.cpp
+++ b/tests/support/random_event_stream.cpp
@@ -82,8 +82,8 @@
   if (request.body_arriving) handle(RequestBodySent{request.id, 0});
 }
 
-// Makes about a third of the endpoints unresponsive or fast again: a slowdown that many endpoints share, or
-// its end.
+// Makes about a third of the endpoints unresponsive or fast again: the beginning or the
+// end of a slowdown that many endpoints share.
 void RandomEventStream::change_random_latencies() {
   for (SimulatedEndpoint& endpoint : endpoints_) {
     if (random_.below(3) > 0) continue;
--- a/tests/support/simulated_fleet/client_traffic.cpp
+++ b/tests/support/simulated_fleet/client_traffic.cpp
@@ -11,7 +11,7 @@
 constexpr Seconds kMinTimeBeforeDeadline = 0.2;  // clients do not retry later than this before their deadline
 constexpr Seconds kMinRetryDelay = 0.03;
 constexpr Seconds kMeanRetryDelay = 0.1;  // random, in addition to kMinRetryDelay
-// A client waits at least this fraction of Retry-After, and at random up to one Retry-After longer.
+// A client waits at least this fraction of Retry-After, and up to one Retry-After longer, at random.
 constexpr double kMinRetryAfterFraction = 0.5;
 
 }  // namespace
--- a/tests/support/simulated_fleet/simulated_fleet.h
+++ b/tests/support/simulated_fleet/simulated_fleet.h
@@ -91,7 +91,8 @@
   EventQueue queue_;
   SimulationRandom random_;
   double capacity_ = 0;  // requests/s of all servers together
-  // The first ones start during the run. A deque, because scheduled events refer to its elements.
+  // The first `starting_servers` start during the run. A deque, because scheduled events refer to its
+  // elements.
   std::deque<SimulatedServer> servers_;
   std::vector<Replica> replicas_;              // including stopped ones
   std::vector<std::size_t> running_replicas_;  // indexes into replicas_
--- a/tests/support/simulated_fleet/simulated_server.cpp
+++ b/tests/support/simulated_fleet/simulated_server.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::size_t kMaxQueuedAttemptsPerSlot = 6;  // further attempts are rejected
-// With more queued attempts per slot than this, a server works at the given fraction of its usual speed.
+// A server with more than kCongestedAttemptsPerSlot queued attempts works at kCongestedSpeedFactor of its
+// usual speed.
 constexpr std::size_t kCongestedAttemptsPerSlot = 2;
 constexpr double kCongestedSpeedFactor = 0.6;
 constexpr Seconds kTimeFromUnresponsiveToStart = 2;
