--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -76,7 +76,7 @@
     replica.handle(replica.now, ResponseStarted{id, 0, 0.1});
     if (i >= 100) replica.end_attempt(std::to_string(i - 100), Outcome::kSuccess, 0, 5);  // a long transfer
   }
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).unavailable, 0U);
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now).unavailable, 0U);
 }
 
 // An initial limit that is small for one replica would overload the endpoints when all replicas start
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -37,14 +37,14 @@
 namespace asterdrift::balancer {
 namespace {
 
-// 7 x kMaxExamined to search, and some more to count the request in flight.
-constexpr std::size_t kMaxEndpointsExaminedByRequest = 600;
+// 7 x kMaxExaminedEndpoints to search, and some more to count the request in flight.
+constexpr std::size_t kMaxRecordsReadByRequest = 600;
 // In five indexes and in a small subset.
-constexpr std::size_t kMaxEndpointsExaminedByUpdate = 250;
+constexpr std::size_t kMaxRecordsReadByUpdate = 250;
 constexpr std::size_t kMaxBytesAllocatedByUpdate = 20000;
 
-std::uint64_t examined_endpoints(const TestReplica& replica) {
-  return replica.balancer.endpoints(replica.now).examined;
+std::uint64_t records_read(const TestReplica& replica) {
+  return replica.balancer.endpoint_metrics(replica.now).records_read;
 }
 
 // The expected digests are those of a balancer that examines every endpoint. The digests cover log lines too.
@@ -71,9 +71,9 @@
       for (int i = 0; i < 600; ++i) {
         const EndpointState state = i % 2 == 0 ? EndpointState::kDraining : EndpointState::kReady;
         const std::size_t bytes_before = allocated_bytes;
-        const std::uint64_t examined_before = examined_endpoints(replica);
+        const std::uint64_t records_read_before = records_read(replica);
         replica.handle(1 + i, make_update(make_fleet_endpoint(i / 2 * 7919 % endpoints), state));
-        ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxEndpointsExaminedByUpdate)
+        ASSERT_LE(records_read(replica) - records_read_before, kMaxRecordsReadByUpdate)
             << endpoints << " endpoints, update " << i;
         ASSERT_LE(allocated_bytes - bytes_before, kMaxBytesAllocatedByUpdate)
             << endpoints << " endpoints, update " << i;
@@ -97,14 +97,14 @@
 }
 
 void expect_bounded_search(TestReplica& replica, const std::string& id) {
-  std::uint64_t examined_before = examined_endpoints(replica);
+  std::uint64_t records_read_before = records_read(replica);
   std::vector<Action> actions = replica.request(id);
-  ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxEndpointsExaminedByRequest);
+  ASSERT_LE(records_read(replica) - records_read_before, kMaxRecordsReadByRequest);
   for (int attempt = 0; !actions_of_type<SendAttempt>(actions).empty(); ++attempt) {
     replica.now += 0.001;
-    examined_before = examined_endpoints(replica);
+    records_read_before = records_read(replica);
     actions = replica.end_attempt(id, Outcome::kConnectionReset, attempt);
-    ASSERT_LE(examined_endpoints(replica) - examined_before, kMaxEndpointsExaminedByRequest);
+    ASSERT_LE(records_read(replica) - records_read_before, kMaxRecordsReadByRequest);
   }
 }
 
@@ -129,9 +129,9 @@
     replica.request(std::to_string(i));
     replica.end_attempt(std::to_string(i), Outcome::kSuccess);
   }
-  const std::uint64_t examined_before = examined_endpoints(replica);
-  EXPECT_EQ(replica.balancer.endpoints(replica.now).listed, 27000U);
-  EXPECT_LE(examined_endpoints(replica) - examined_before, 60U);  // twice the subset's 27 endpoints
+  const std::uint64_t records_read_before = records_read(replica);
+  EXPECT_EQ(replica.balancer.endpoint_metrics(replica.now).listed, 27000U);
+  EXPECT_LE(records_read(replica) - records_read_before, 60U);  // twice the subset's 27 endpoints
 }
 
 // The addresses of the endpoints that a replica sends requests to while all endpoints are healthy.
@@ -261,10 +261,10 @@
   for (int i = 0; i < 300; ++i) {
     replica.now += 0.01;
     const std::string id = std::to_string(i);
-    const std::uint64_t examined_before = examined_endpoints(replica);
+    const std::uint64_t records_read_before = records_read(replica);
     const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
     // Requests that examine fewer endpoints are rejected before an endpoint is searched for.
-    if (examined_endpoints(replica) - examined_before >= 4 * kMaxExamined) ++searches;
+    if (records_read(replica) - records_read_before >= 4 * kMaxExaminedEndpoints) ++searches;
     if (sent.empty()) continue;
     replica.end_attempt(id, Outcome::kSuccess);
     EXPECT_EQ(sent[0].endpoint, snapshot.endpoints[0].address);
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -11,7 +11,7 @@
   settings.requires_watch = true;
   settings.poll_within = 10;
   TestReplica replica(settings);
-  EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(0, Started{})).size(), 1U);
+  EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(0, ReplicaStarted{})).size(), 1U);
   Seconds now = 0;
   for (int i = 0; i < 12; ++i) {
     const auto timers = actions_of_type<SetTimer>(replica.handle(now, make_watch_failure()));
@@ -26,7 +26,7 @@
 
 TEST(EndpointWatch, IsNotRequestedWhenUpdatesArriveUnsolicited) {
   TestReplica replica(basic_settings());
-  EXPECT_TRUE(replica.handle(0, Started{}).empty());
+  EXPECT_TRUE(replica.handle(0, ReplicaStarted{}).empty());
   EXPECT_TRUE(replica.handle(0, make_watch_failure()).empty());
 }
 
--- a/tests/balancer/rate_limit_feedback_test.cpp
+++ b/tests/balancer/rate_limit_feedback_test.cpp
@@ -37,9 +37,9 @@
   replica.handle(0, make_snapshot(16));
   int last_request_number = 0;
   send_requests(replica, last_request_number, kRaisingSeconds, outcome, 0);
-  const double before = replica.balancer.tenant(replica.now, 0).rate_limit;
+  const double before = replica.balancer.tenant_metrics(replica.now, 0).rate_limit;
   send_requests(replica, last_request_number, kFailingSeconds, outcome, failure_interval);
-  return replica.balancer.tenant(replica.now, 0).rate_limit / before;
+  return replica.balancer.tenant_metrics(replica.now, 0).rate_limit / before;
 }
 
 TEST(RateLimitFeedback, ErrorsAndResetConnectionsDoNotChangeRateLimit) {
--- a/tests/support/random_event_stream.cpp
+++ b/tests/support/random_event_stream.cpp
@@ -37,7 +37,7 @@
 RandomEventStream::RandomEventStream(std::uint64_t seed, std::size_t endpoints)
     : random_(seed * 2654435761 + 1), replica_(make_settings(seed), seed), endpoints_(endpoints) {
   for (SimulatedEndpoint& endpoint : endpoints_) replace_endpoint(endpoint);
-  handle(Started{});
+  handle(ReplicaStarted{});
   handle(snapshot_matching(is_ready));
 }
 
@@ -59,7 +59,7 @@
   } else if (draw < 168) {
     update_endpoints();
   }
-  if (random_.below(50) == 0) record_endpoint_view();
+  if (random_.below(50) == 0) record_endpoint_metrics();
 }
 
 void RandomEventStream::end_due_attempts() {
@@ -91,10 +91,10 @@
   }
 }
 
-void RandomEventStream::record_endpoint_view() {
-  const EndpointSetView view = replica_.balancer.endpoints(now_);
-  digest_.add(view.listed);
-  digest_.add(view.unavailable);
+void RandomEventStream::record_endpoint_metrics() {
+  const EndpointMetrics metrics = replica_.balancer.endpoint_metrics(now_);
+  digest_.add(metrics.listed);
+  digest_.add(metrics.unavailable);
 }
 
 void RandomEventStream::replace_endpoint(SimulatedEndpoint& endpoint) {
--- a/tests/support/random_event_stream.h
+++ b/tests/support/random_event_stream.h
@@ -44,7 +44,7 @@
   void end_due_attempts();
   void send_request();
   void change_random_latencies();
-  void record_endpoint_view();
+  void record_endpoint_metrics();
 
   void replace_endpoint(SimulatedEndpoint& endpoint);
   void update_endpoints();
--- a/tests/support/simulated_fleet/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet/simulated_fleet.cpp
@@ -130,7 +130,7 @@
 }
 
 void SimulatedFleet::start_replica(std::size_t replica) {
-  handle(replica, Started{});
+  handle(replica, ReplicaStarted{});
   EndpointUpdate snapshot;
   for (std::size_t i = 0; i < servers_.size(); ++i) {
     if (!servers_[i].running()) continue;
