--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -23,16 +23,19 @@
 using timing::now;
 
 constexpr std::size_t kMaxHeadBytes = 8UL * 1024;
-constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;  // after the response
-constexpr std::size_t kReadSize = 4096;                  // bytes
-constexpr double kRequestTimeout = 2.2;  // s for a request, and as long again to take its response
-constexpr double kCloseTimeout = 1;      // s for a peer to close after its response
+// The limit for bytes that the client sends after its request.
+constexpr std::size_t kMaxDiscardedBytes = 64UL * 1024;
+constexpr std::size_t kReadBufferBytes = 4096;
+// The time limit for receiving a request, and separately for sending its response.
+constexpr Seconds kRequestTimeout = 2.2;
+// The time limit for a client to close its connection after the response.
+constexpr Seconds kCloseTimeout = 1;
 
 }  // namespace
 
 AdminConnection::AdminConnection(const AdminCallbacks& callbacks, tcp::socket socket)
     : callbacks_(callbacks), socket_(std::move(socket)), state_since_(now()) {
-  // The body is not read. Without a limit Beast 1.74 rejects every Content-Length as too large.
+  // The body is not read. If no limit were set, Beast 1.74 would reject every Content-Length as too large.
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
@@ -47,13 +50,13 @@
 
 void AdminConnection::close_overdue() {
   error_code ignored;
-  if (state_ == State::kReading && has_bytes_)
+  if (state_ == State::kReading && has_received_bytes_)
     socket_.write_some(asio::buffer(http::kTimeoutResponse), ignored);
   close();
 }
 
 void AdminConnection::close() {
-  const auto self = shared_from_this();  // the owner's reference may be the last
+  const auto self = shared_from_this();  // on_closed may release the last other reference to this connection
   state_ = State::kClosed;
   if (const auto on_closed = std::exchange(on_closed_, nullptr)) on_closed();
   error_code ignored;
@@ -68,7 +71,7 @@
   });
 }
 
-// An exception, such as one for lack of memory, ends this connection alone.
+// An exception, such as one for lack of memory, ends only this connection.
 void AdminConnection::read() {
   try {
     read_available();
@@ -79,7 +82,7 @@
 }
 
 void AdminConnection::read_available() {
-  std::array<char, kReadSize> bytes;
+  std::array<char, kReadBufferBytes> bytes;
   error_code error;
   const std::size_t size = socket_.read_some(asio::buffer(bytes), error);
   if (error == asio::error::would_block) return wait_readable();
@@ -88,7 +91,7 @@
     discarded_bytes_ += size;
     return discarded_bytes_ > kMaxDiscardedBytes ? close() : wait_readable();
   }
-  has_bytes_ = true;
+  has_received_bytes_ = true;
   input_.append(bytes.data(), size);
   parse();
 }
@@ -97,9 +100,9 @@
   error_code error;
   const std::size_t used = parser_.put(asio::buffer(input_), error);
   input_.erase(0, used);
-  head_bytes_ += used;
-  // Beast's own limit does not count complete lines.
-  const bool is_too_long = head_bytes_ + input_.size() > kMaxHeadBytes;
+  parsed_bytes_ += used;
+  // Beast's own limit does not count the lines that are complete.
+  const bool is_too_long = parsed_bytes_ + input_.size() > kMaxHeadBytes;
   if (is_too_long || error == beast_http::error::header_limit) return respond(http::kHeaderFieldsTooLarge);
   if (parser_.is_header_done()) return handle_request();
   if (error && error != beast_http::error::need_more) return respond(http::kBadRequest);
@@ -129,7 +132,8 @@
                     });
 }
 
-// Closing a socket with unread bytes resets the connection, and the peer may lose the response.
+// Shuts down the sending side first, and closes the connection after its client. Closing a socket with unread
+// bytes resets the connection, and the client may lose the response.
 void AdminConnection::begin_closing() {
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -1,4 +1,4 @@
-// One operator's connection to the admin server: one request, one response.
+// A connection to the admin server, which carries one request and its response.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,25 +9,30 @@
 #include <optional>
 #include <string>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::node::admin {
 
-// What the admin server reports.
+// The sources of the admin server's responses.
 struct AdminCallbacks {
-  std::function<bool()> is_ready;
-  std::function<std::string()> metrics_report;
+  std::function<bool()> is_ready;               // for GET /ready
+  std::function<std::string()> metrics_report;  // for GET /metrics
 };
 
-// Reads one request, responds, and closes.
+// Reads one request, responds, and closes the connection.
 class AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
-  // callbacks have to outlive the connection. on_closed is called once.
+  // callbacks has to outlive the connection.
   AdminConnection(const AdminCallbacks& callbacks, boost::asio::ip::tcp::socket socket);
 
+  // on_closed is called once.
   void start(std::function<void()> on_closed);
   void close();
-  // Closes a connection that is overdue; a peer that has sent an incomplete request gets a response.
+  // Closes a connection whose time limit has expired. A client that has sent an incomplete request gets a 408
+  // response.
   void close_overdue();
 
+  // Whether the time limit of the connection's current state has expired.
   bool is_overdue() const;
   bool is_responding() const { return state_ == State::kResponding; }
   bool is_closing() const { return state_ == State::kClosing; }
@@ -47,11 +52,12 @@
   boost::asio::ip::tcp::socket socket_;
   std::function<void()> on_closed_;
   State state_ = State::kReading;
-  bool has_bytes_ = false;  // of a request
-  double state_since_;
-  std::size_t head_bytes_ = 0, discarded_bytes_ = 0;
+  bool has_received_bytes_ = false;  // of a request
+  Seconds state_since_;              // on the steady clock
+  std::size_t parsed_bytes_ = 0;     // of the request's head
+  std::size_t discarded_bytes_ = 0;  // received after the response
   std::string input_, output_;
-  // Not eager, so that it stops at the end of the head.
+  // Not eager, so that the parser stops at the end of the head.
   boost::beast::http::request_parser<boost::beast::http::string_body> parser_;
 };
 
--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -14,9 +14,10 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr int kMaxAcceptsPerWait = 64;  // so that other sockets are served in between
-constexpr int kBacklog = 256;           // connections that the system queues
-constexpr auto kOverduePeriod = std::chrono::milliseconds(200);
+// The limit for connections that are accepted in a row before other sockets are served.
+constexpr int kMaxAcceptsPerWait = 64;
+constexpr int kListenBacklog = 256;  // connections that the operating system queues
+constexpr auto kOverdueCheckPeriod = std::chrono::milliseconds(200);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
 
 }  // namespace
@@ -26,7 +27,7 @@
   acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(address);
-  acceptor_.listen(kBacklog);
+  acceptor_.listen(kListenBacklog);
   acceptor_.non_blocking(true);
   accept();
   close_overdue();
@@ -42,7 +43,7 @@
   });
 }
 
-// Returns whether more may be accepted now; if not, accepting has been scheduled.
+// Returns whether another connection may be accepted now. Otherwise, accept() has been scheduled.
 bool AdminServer::accept_one() {
   error_code error;
   tcp::socket socket(io_);
@@ -74,8 +75,8 @@
   }
 }
 
-// Closes one connection: preferably one that has its response, else the oldest that has sent no complete
-// request, else the oldest.
+// Closes one connection, in this order of preference: the oldest that has received its response, the oldest
+// that has not sent a complete request, the oldest.
 void AdminServer::evict_one() {
   const auto find = [this](const auto& predicate) {
     return std::find_if(connections_.begin(), connections_.end(), predicate);
@@ -92,7 +93,7 @@
     const std::shared_ptr<AdminConnection> connection = *it++;
     if (connection->is_overdue()) connection->close_overdue();
   }
-  overdue_timer_.expires_after(kOverduePeriod);
+  overdue_timer_.expires_after(kOverdueCheckPeriod);
   overdue_timer_.async_wait([this](const error_code& error) {
     if (!error) close_overdue();
   });
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -1,4 +1,4 @@
-// The operators' address: GET /ready and GET /metrics, one request to a connection.
+// The HTTP server for operators: serves GET /ready and GET /metrics, one request per connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,15 +11,16 @@
 
 namespace asterdrift::node::admin {
 
-// Has a few connections of its own, so that it responds however many clients and idle peers are connected.
+// Has a limit of its own for its connections, so that it responds however many clients and idle operators are
+// connected to the node.
 class AdminServer {
  public:
-  // One more file descriptor is reserved for the next connection.
+  // One more file descriptor is reserved, for accepting a connection at this limit.
   static constexpr std::size_t kMaxConnections = 12;
 
   using Callbacks = AdminCallbacks;
 
-  // Throws boost::system::system_error where the address cannot be listened on.
+  // Throws boost::system::system_error if the node cannot listen on the address.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
               Callbacks callbacks);
 
@@ -36,7 +37,7 @@
   boost::asio::io_context& io_;
   const Callbacks callbacks_;
   std::size_t max_connections_ = kMaxConnections;
-  std::list<std::shared_ptr<AdminConnection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<AdminConnection>> connections_;  // the oldest is first
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_, overdue_timer_;
 };
--- a/node/dispatch/balancer_host.h
+++ b/node/dispatch/balancer_host.h
@@ -1,4 +1,4 @@
-// Runs the balancer: queues its events, and hands out the actions that it decides on.
+// Runs the balancer: queues its events, and executes the actions that it decides on.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,43 +11,48 @@
 
 namespace asterdrift::node::dispatch {
 
-// Carries out the balancer's actions on requests and endpoints.
+// Executes the balancer's actions on requests and endpoints.
 class BalancerActionHandler {
  public:
   virtual ~BalancerActionHandler() = default;
 
-  virtual void run(const balancer::SendAttempt& action) = 0;
-  virtual void run(const balancer::RejectRequest& action) = 0;
-  virtual void run(const balancer::FailRequest& action) = 0;
-  virtual void run(const balancer::CancelAttempt& action) = 0;
-  virtual void run(const balancer::WatchEndpoints& action) = 0;
-  // An exception has ended an action on this request midway. Must not throw.
+  virtual void execute(const balancer::SendAttempt& action) = 0;
+  virtual void execute(const balancer::RejectRequest& action) = 0;
+  virtual void execute(const balancer::FailRequest& action) = 0;
+  virtual void execute(const balancer::CancelAttempt& action) = 0;
+  virtual void execute(const balancer::WatchEndpoints& action) = 0;
+  // An action on the request with this id has thrown an exception, and may have been executed in part. Must
+  // not throw.
   virtual void on_action_failed(const std::string& id) = 0;
-  // All actions that follow from the end of an attempt have been carried out.
+  // The balancer has handled the result of an attempt, and all actions that follow from it have been
+  // executed.
   virtual void on_attempt_result_handled(const balancer::AttemptResult& result) = 0;
 };
 
-// Owns the balancer and its timers. Writes the balancer's log lines itself.
+// Owns the balancer and its timers, and writes the balancer's log lines. All other actions are passed to the
+// action handler.
 class BalancerHost {
  public:
-  // actions has to outlive the host.
-  BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config, BalancerActionHandler& actions);
+  // action_handler has to outlive the host.
+  BalancerHost(boost::asio::io_context& io, const config::NodeConfig& config,
+               BalancerActionHandler& action_handler);
 
-  // The balancer is not re-entered: an event that its actions cause is handled after them, before the
-  // outermost call returns. An action that throws ends its own request alone: the others are carried out.
-  void post(balancer::Event event);
+  // Lets the balancer handle an event, and executes the resulting actions. The balancer is not re-entered: an
+  // event that an action causes is handled after all actions of the current event, before the outermost call
+  // returns. An action that throws ends only its own request: the other actions are executed.
+  void handle_event(balancer::Event event);
 
   balancer::EndpointSetView endpoints() const;
 
  private:
   void handle_next_event();
-  void carry_out(const balancer::Action& action);
+  void execute_action(const balancer::Action& action);
   template <class Action>
-  void run(const Action& action) {
-    action_handler_.run(action);
+  void execute(const Action& action) {
+    action_handler_.execute(action);
   }
-  void run(const balancer::SetTimer& action);
-  void run(const balancer::LogLine& action);
+  void execute(const balancer::SetTimer& action);
+  void execute(const balancer::LogLine& action);
 
   boost::asio::io_context& io_;
   BalancerActionHandler& action_handler_;
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -1,4 +1,4 @@
-// A request that the dispatcher has taken, and its attempts.
+// A request that the dispatcher has accepted, and its attempts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "asterdrift/balancer/events.h"
+#include "asterdrift/seconds.h"
 #include "node/dispatch/messages.h"
 #include "node/dispatch/request_id.h"
 #include "node/upstream/attempt.h"
@@ -15,12 +16,12 @@
 
 using ResponseCallback = std::function<void(DownstreamResponse&&)>;
 
-// One attempt of a request at a server.
+// One attempt to execute a request on a server.
 struct Attempt {
   enum class State {
-    kOpen,       // has not ended; may have run
+    kOpen,       // has not ended; a server may have begun to handle it
     kNeverRan,   // has ended, and no server has begun to handle it
-    kMayHaveRun  // has ended
+    kMayHaveRun  // has ended, and a server may have begun to handle it
   };
 
   bool is_open() const { return state == State::kOpen; }
@@ -28,34 +29,34 @@
   void end(balancer::Outcome outcome);
 
   upstream::AttemptHandle handle;
-  double sent_at = 0;  // on the steady clock
+  Seconds sent_at = 0;  // on the steady clock
   State state = State::kOpen;
 };
 
 // A request from its dispatch until it has its final response and no open attempt.
 struct InFlightRequest {
-  InFlightRequest(boost::asio::io_context& io, RequestId id, DownstreamRequest&& downstream,
+  InFlightRequest(boost::asio::io_context& io, RequestId request_id, DownstreamRequest&& downstream,
                   ResponseCallback&& callback);
 
-  // Whether the client still awaits the final response.
-  bool is_open() const { return on_response != nullptr; }
+  // Whether the request has no final response yet, and its client has not disconnected.
+  bool awaits_response() const { return on_response != nullptr; }
   bool has_open_attempts() const;
   // Whether a server may have begun to handle the request.
   bool may_have_run() const;
-  // Whether the attempt that was added last may be sent. Nothing is sent for a request that has its final
-  // response, nor for a client that has disconnected. A body that is not buffered completely cannot be sent a
+  // Whether the most recently added attempt may be sent. Nothing is sent for a request that has its final
+  // response, or for a client that has disconnected. A body that is not buffered completely cannot be sent a
   // second time, nor on two connections at once.
   bool may_send_last_attempt() const;
 
   // Returns the number of a new attempt.
-  AttemptNumber add_attempt(double sent_at);
-  // Null for a number that no attempt has.
+  AttemptNumber add_attempt(Seconds sent_at);
+  // Null if no attempt has this number.
   Attempt* find_attempt(AttemptNumber number);
 
   const RequestId id;
-  DownstreamRequest request;
-  ResponseCallback on_response;  // empty once the request has its final response
-  boost::asio::steady_timer deadline;
+  DownstreamRequest downstream_request;
+  ResponseCallback on_response;  // empty once the request has its final response or its client is gone
+  boost::asio::steady_timer deadline_timer;
   std::vector<Attempt> attempts;
 };
 
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -1,4 +1,4 @@
-// A client's request and its response, between the downstream server and the request dispatcher.
+// A client's request and its response, as the downstream server and the request dispatcher exchange them.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "asterdrift/balancer/events.h"
+#include "asterdrift/seconds.h"
 #include "node/http/status.h"
 #include "node/memory/body_stream.h"
 #include "node/memory/memory_budget.h"
@@ -15,25 +16,25 @@
 
 namespace asterdrift::node::dispatch {
 
-// A valid request.
+// A client's request whose head has been validated.
 struct DownstreamRequest {
-  balancer::Request balancer_request;  // the dispatcher fills in id, time_left and body_arriving
+  balancer::Request balancer_request;  // the dispatcher sets id, time_left and body_arriving
   std::shared_ptr<upstream::UpstreamRequest> upstream_request;
-  std::string client_request_id;  // of the client's Request-Id header
-  double received_at = 0;         // when its last byte arrived, on the steady clock
-  double timeout = 0;             // s, from when the client sent its last byte
-  // Whether the client has disconnected; empty where that is not known.
+  std::string client_request_id;  // the value of the client's Request-Id header
+  Seconds received_at = 0;        // when the last byte of the request arrived, on the steady clock
+  Seconds timeout = 0;            // from when the client sent the last byte of the request
+  // Whether the client has disconnected. Empty if that is not known.
   std::function<bool()> has_client_disconnected;
 };
 
-// The final response.
+// The final response to a client's request.
 struct DownstreamResponse {
   unsigned status = http::kInternalServerError;
-  double retry_after = 0;  // s; 0: no header
+  Seconds retry_after = 0;  // 0: no Retry-After header
   std::string body = {}, content_type = {};
   memory::MemoryReservation body_reservation = {};
-  std::shared_ptr<memory::BodyStream> streamed_body = {};  // of a streamed response, in place of body
-  std::optional<std::uint64_t> content_length = {};        // of streamed_body, where it is known
+  std::shared_ptr<memory::BodyStream> streamed_body = {};  // replaces `body` if the response is streamed
+  std::optional<std::uint64_t> content_length = {};        // of streamed_body; empty: not known
 };
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -22,17 +22,18 @@
 using http::kServiceUnavailable;
 using timing::now;
 
-constexpr double kFirstListTimeout = 1;  // s that a node with known endpoints waits for a newer list
+// How long a node that knows endpoints from its configuration waits for a newer endpoint list.
+constexpr Seconds kFirstEndpointListTimeout = 1;
 
-RequestDeadline deadline_of(const DownstreamRequest& request) {
+RequestDeadline to_deadline(const DownstreamRequest& request) {
   return {request.received_at, request.timeout};
 }
 
 bool is_expired(const DownstreamRequest& request) {
-  return request.upstream_request->body_stream == nullptr && now() >= deadline_of(request).attempts_end_at();
+  return request.upstream_request->body_stream == nullptr && now() >= to_deadline(request).attempts_end_at();
 }
 
-balancer::EndpointUpdate update_of(const config::EndpointList& list) {
+balancer::EndpointUpdate to_endpoint_update(const config::EndpointList& list) {
   balancer::EndpointUpdate update;
   update.form = list.is_snapshot ? balancer::EndpointUpdate::Form::kSnapshot
                                  : balancer::EndpointUpdate::Form::kIncremental;
@@ -45,58 +46,58 @@
 
 RequestDispatcher::RequestDispatcher(boost::asio::io_context& io, const config::NodeConfig& config,
                                      memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
-                                     std::size_t max_upstream_connections, std::function<void()> watch)
+                                     std::size_t max_upstream_connections, std::function<void()> start_watch)
     : io_(io),
       balancer_(io, config, *this),
       pool_(io, config, body_budget, metrics, max_upstream_connections),
-      watch_(std::move(watch)),
+      start_watch_(std::move(start_watch)),
       config_(config) {}
 
 void RequestDispatcher::start() {
-  balancer_.post(balancer::Started{});
-  if (!config_.settings.requires_watch) watch_();  // pushed lists come on the same stream
+  balancer_.handle_event(balancer::Started{});
+  if (!config_.settings.requires_watch) start_watch_();  // pushed endpoint lists arrive on the same stream
   if (!config_.known_endpoints) return;
-  apply_endpoints(*config_.known_endpoints);
-  const auto timer =
-      std::make_shared<boost::asio::steady_timer>(io_, timing::time_point_of(now() + kFirstListTimeout));
+  apply_endpoint_list(*config_.known_endpoints);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(
+      io_, timing::time_point_of(now() + kFirstEndpointListTimeout));
   timer->async_wait([this, timer](const error_code&) { endpoint_list_is_current_ = true; });
 }
 
-void RequestDispatcher::run(const balancer::SendAttempt& action) {
+void RequestDispatcher::execute(const balancer::SendAttempt& action) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(action.id);
   if (request == nullptr) return;
   const AttemptNumber number = request->add_attempt(now());
   if (!request->may_send_last_attempt()) {
-    return handle_attempt_end(request->id, number, {Outcome::kNotSent, {}, {}, {}, 0});
+    return handle_upstream_result(request->id, number, {Outcome::kNotSent, {}, {}, {}, 0});
   }
   upstream::AttemptHandle handle =
-      pool_.start(action.endpoint, request->request.upstream_request, action.timeout, action.write_within,
-                  attempt_callbacks(request->id, number));
+      pool_.start_attempt(action.endpoint, request->downstream_request.upstream_request, action.timeout,
+                          action.write_within, make_attempt_callbacks(request->id, number));
   request->find_attempt(number)->handle = std::move(handle);
 }
 
-void RequestDispatcher::run(const balancer::RejectRequest& action) {
+void RequestDispatcher::execute(const balancer::RejectRequest& action) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(action.id);
   if (request == nullptr) return;
   respond(*request, {.status = kServiceUnavailable, .retry_after = action.retry_after});
   requests_.remove_if_done(request->id);
 }
 
-void RequestDispatcher::run(const balancer::FailRequest& action) {
+void RequestDispatcher::execute(const balancer::FailRequest& action) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(action.id);
   if (request == nullptr) return;
   respond(*request, {.status = kBadGateway});
   requests_.remove_if_done(request->id);
 }
 
-void RequestDispatcher::run(const balancer::CancelAttempt& action) {
+void RequestDispatcher::execute(const balancer::CancelAttempt& action) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(action.id);
   if (request == nullptr) return;
   const Attempt* const attempt = request->find_attempt(action.attempt);
   if (attempt != nullptr) pool_.stop(attempt->handle, Outcome::kCancelled);
 }
 
-void RequestDispatcher::run(const balancer::WatchEndpoints&) { watch_(); }
+void RequestDispatcher::execute(const balancer::WatchEndpoints&) { start_watch_(); }
 
 void RequestDispatcher::on_action_failed(const std::string& id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
@@ -104,20 +105,21 @@
   try {
     end_after_failure(*request);
   } catch (const std::exception& error) {
-    telemetry::log_line("request " + id + " could not be ended: " + error.what());
+    telemetry::log_line("request " + id + " could not be ended after a failed action: " + error.what());
   }
 }
 
-// How far the action has come is not known: an attempt that it has left without a connection may have run.
+// It is not known how far the failed action was executed, so an attempt that it left without a connection
+// counts as one that may have run.
 void RequestDispatcher::end_after_failure(InFlightRequest& request) {
-  if (request.is_open()) {
-    const ResponseCallback on_response = close(request);
+  if (request.awaits_response()) {
+    const ResponseCallback on_response = end_request(request);
     on_response(request.may_have_run() ? DownstreamResponse{.status = kBadGateway} : rejection_response());
   }
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const bool has_connection = !request.attempts[i].handle.connection.expired();
     if (request.attempts[i].is_open() && !has_connection) {
-      handle_attempt_end(request.id, static_cast<AttemptNumber>(i), {Outcome::kUnknown, {}, {}, {}, 0});
+      handle_upstream_result(request.id, static_cast<AttemptNumber>(i), {Outcome::kUnknown, {}, {}, {}, 0});
     }
   }
   abort(request.id);
@@ -129,65 +131,67 @@
 
 RequestId RequestDispatcher::dispatch(DownstreamRequest request, ResponseCallback on_response) {
   const RequestId id = requests_.next_id();
-  if (is_expired(request)) {  // it has waited behind another one, or in the socket
+  if (is_expired(request)) {  // it has waited behind another request, or unread in the socket
     on_response(rejection_response());
     return id;
   }
   request.balancer_request.id = to_text(id);
   request.balancer_request.body_arriving = request.upstream_request->body_stream != nullptr;
-  request.balancer_request.time_left = deadline_of(request).attempts_end_at() - now();
+  request.balancer_request.time_left = to_deadline(request).attempts_end_at() - now();
   request.upstream_request->is_response_awaited = [this, id] { return is_response_awaited(id); };
   const auto in_flight =
       std::make_shared<InFlightRequest>(io_, id, std::move(request), std::move(on_response));
   requests_.insert(in_flight);
-  if (!in_flight->request.upstream_request->body_stream) set_deadline(*in_flight);
-  balancer_.post(in_flight->request.balancer_request);
+  if (!in_flight->downstream_request.upstream_request->body_stream) start_deadline_timer(*in_flight);
+  balancer_.handle_event(in_flight->downstream_request.balancer_request);
   return id;
 }
 
-void RequestDispatcher::on_body_received(RequestId id, double received_at) {
+void RequestDispatcher::on_body_received(RequestId id, Seconds received_at) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
-  if (request == nullptr || !request->is_open()) return;
-  request->request.received_at = received_at;
-  set_deadline(*request);
+  if (request == nullptr || !request->awaits_response()) return;
+  request->downstream_request.received_at = received_at;
+  start_deadline_timer(*request);
 }
 
 void RequestDispatcher::on_client_disconnected(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
-  if (request == nullptr || !request->is_open()) return;
-  close(*request);
+  if (request == nullptr || !request->awaits_response()) return;
+  end_request(*request);
   abort(id);
 }
 
-// Whether a request is open and its client still connected. Checked before anything is sent: where the event
-// loop is late, it may handle what starts an attempt before it handles an earlier disconnection.
+// Whether a request has no final response and its client is still connected. This is checked before anything
+// is sent to a server: a late event loop may handle an event that starts an attempt before it handles an
+// earlier disconnection of the client.
 bool RequestDispatcher::is_response_awaited(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
-  if (request == nullptr || !request->is_open()) return false;
-  const auto& has_client_disconnected = request->request.has_client_disconnected;
+  if (request == nullptr || !request->awaits_response()) return false;
+  const auto& has_client_disconnected = request->downstream_request.has_client_disconnected;
   if (!has_client_disconnected || !has_client_disconnected()) return true;
   on_client_disconnected(id);
   return false;
 }
 
-void RequestDispatcher::set_deadline(InFlightRequest& request) {
-  request.deadline.expires_at(timing::time_point_of(deadline_of(request.request).final_response_at()));
-  request.deadline.async_wait([this, id = request.id](const error_code& error) {
+void RequestDispatcher::start_deadline_timer(InFlightRequest& request) {
+  request.deadline_timer.expires_at(
+      timing::time_point_of(to_deadline(request.downstream_request).final_response_at()));
+  request.deadline_timer.async_wait([this, id = request.id](const error_code& error) {
     if (!error) expire(id);
   });
 }
 
-// The client gets a final response also where the balancer has not ended the request in time.
+// Sends the client a final response even if the balancer has not ended the request in time.
 void RequestDispatcher::expire(RequestId id) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
-  if (request == nullptr || !request->is_open()) return;
-  const ResponseCallback on_response = close(*request);
+  if (request == nullptr || !request->awaits_response()) return;
+  const ResponseCallback on_response = end_request(*request);
   on_response(request->may_have_run() ? DownstreamResponse{.status = kGatewayTimeout} : rejection_response());
   abort(id);
 }
 
 void RequestDispatcher::abort(RequestId id) {
-  balancer_.post(balancer::RequestAborted{to_text(id)});
+  balancer_.handle_event(balancer::RequestAborted{to_text(id)});
   requests_.remove_if_done(id);
 }
 
@@ -199,87 +203,91 @@
   return {.status = kServiceUnavailable, .retry_after = config_.settings.max_retry_after / 2};
 }
 
-// Every request ends here. Attempts that have not been written completely are withdrawn: that is no
-// cancellation, and needs no permission of the balancer.
-ResponseCallback RequestDispatcher::close(InFlightRequest& request) {
+// The only function that ends requests: takes the response callback from the request and returns it. Attempts
+// whose request has not been written completely are withdrawn. Unlike a cancellation, this needs no decision
+// of the balancer.
+ResponseCallback RequestDispatcher::end_request(InFlightRequest& request) {
   ResponseCallback on_response = std::exchange(request.on_response, nullptr);
-  request.deadline.cancel();
-  for (std::size_t i = 0; i < request.attempts.size(); ++i) {  // withdraw() may end and add attempts
+  request.deadline_timer.cancel();
+  for (std::size_t i = 0; i < request.attempts.size(); ++i) {  // withdraw() may end attempts and add new ones
     const upstream::AttemptHandle attempt = request.attempts[i].handle;
     if (request.attempts[i].is_open()) pool_.withdraw(attempt);
   }
   return on_response;
 }
 
-// A second response is discarded.
+// Does nothing if the request already has its final response.
 void RequestDispatcher::respond(InFlightRequest& request, DownstreamResponse&& response) {
-  if (!request.is_open()) return;
-  const ResponseCallback on_response = close(request);
+  if (!request.awaits_response()) return;
+  const ResponseCallback on_response = end_request(request);
   on_response(std::move(response));
 }
 
-upstream::AttemptCallbacks RequestDispatcher::attempt_callbacks(RequestId id, AttemptNumber number) {
+upstream::AttemptCallbacks RequestDispatcher::make_attempt_callbacks(RequestId id, AttemptNumber number) {
   upstream::AttemptCallbacks callbacks;
-  callbacks.on_end = [this, id, number](upstream::AttemptEnd&& end) {
-    handle_attempt_end(id, number, std::move(end));
+  callbacks.on_result = [this, id, number](upstream::UpstreamResult&& result) {
+    handle_upstream_result(id, number, std::move(result));
   };
   callbacks.on_response_started = [this, id, number](upstream::StreamedResponse&& response) {
     handle_response_started(id, number, std::move(response));
   };
-  callbacks.on_body_consumed = [this, id] { balancer_.post(balancer::RequestBodyConsumed{to_text(id)}); };
-  callbacks.on_request_sent = [this, id, number] {
-    balancer_.post(balancer::RequestBodySent{to_text(id), number});
+  callbacks.on_body_stream_consumed = [this, id] {
+    balancer_.handle_event(balancer::RequestBodyConsumed{to_text(id)});
+  };
+  callbacks.on_body_stream_sent = [this, id, number] {
+    balancer_.handle_event(balancer::RequestBodySent{to_text(id), number});
   };
   return callbacks;
 }
 
-void RequestDispatcher::handle_attempt_end(RequestId id, AttemptNumber number, upstream::AttemptEnd&& end) {
+void RequestDispatcher::handle_upstream_result(RequestId id, AttemptNumber number,
+                                               upstream::UpstreamResult&& result) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr) return;
   Attempt& attempt = *request->find_attempt(number);
-  if (!attempt.is_open()) return;  // its start has failed, see on_action_failed()
-  attempt.end(end.outcome);
-  const double sent_at = std::max(attempt.sent_at, end.sent_at);
-  if (end.outcome == Outcome::kSuccess) {
+  if (!attempt.is_open()) return;  // its start failed, and end_after_failure() has ended it
+  attempt.end(result.outcome);
+  const Seconds sent_at = std::max(attempt.sent_at, result.body_stream_sent_at);
+  if (result.outcome == Outcome::kSuccess) {
     respond(*request, {.status = kOk,
-                       .body = std::move(end.body),
-                       .content_type = std::move(end.content_type),
-                       .body_reservation = std::move(end.body_reservation)});
+                       .body = std::move(result.body),
+                       .content_type = std::move(result.content_type),
+                       .body_reservation = std::move(result.body_reservation)});
   }
-  balancer_.post(
-      balancer::AttemptResult{to_text(id), number, end.outcome, now() - sent_at, !request->is_open()});
+  balancer_.handle_event(balancer::AttemptResult{to_text(id), number, result.outcome, now() - sent_at,
+                                                 !request->awaits_response()});
 }
 
 void RequestDispatcher::handle_response_started(RequestId id, AttemptNumber number,
                                                 upstream::StreamedResponse&& response) {
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
-  if (request == nullptr || !request->is_open()) return response.body->abandon();
-  const double sent_at = std::max(request->find_attempt(number)->sent_at, response.sent_at);
+  if (request == nullptr || !request->awaits_response()) return response.body->abandon();
+  const Seconds sent_at = std::max(request->find_attempt(number)->sent_at, response.body_stream_sent_at);
   respond(*request, {.status = kOk,
                      .content_type = std::move(response.content_type),
                      .streamed_body = std::move(response.body),
                      .content_length = response.content_length});
-  balancer_.post(balancer::ResponseStarted{to_text(id), number, now() - sent_at});
+  balancer_.handle_event(balancer::ResponseStarted{to_text(id), number, now() - sent_at});
 }
 
 void RequestDispatcher::on_endpoint_list(const config::EndpointList& list) {
   endpoint_list_is_current_ = true;
-  apply_endpoints(list);
+  apply_endpoint_list(list);
 }
 
-// The balancer is notified of a drain before it is notified of the attempts that the drain has stopped. New
-// endpoints are in the pool before the balancer can select them.
-void RequestDispatcher::apply_endpoints(const config::EndpointList& list) {
+// The balancer is notified of a draining endpoint before it is notified of the attempts that are stopped by
+// the drain. New endpoints are added to the pool before the balancer can select them.
+void RequestDispatcher::apply_endpoint_list(const config::EndpointList& list) {
   const std::vector<upstream::AttemptHandle> stopped = pool_.apply(list);
-  has_endpoints_ = pool_.endpoints() > 0;
-  balancer_.post(update_of(list));
+  has_endpoints_ = pool_.endpoint_count() > 0;
+  balancer_.handle_event(to_endpoint_update(list));
   for (const upstream::AttemptHandle& attempt : stopped) pool_.stop(attempt, Outcome::kNotSent);
 }
 
 void RequestDispatcher::on_watch_failed() {
   balancer::EndpointUpdate update;
   update.form = balancer::EndpointUpdate::Form::kWatchFailed;
-  balancer_.post(std::move(update));
+  balancer_.handle_event(std::move(update));
 }
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_dispatcher.h
+++ b/node/dispatch/request_dispatcher.h
@@ -1,4 +1,4 @@
-// Connects the balancer to the sockets: takes requests, sends attempts, and responds.
+// Connects the balancer to the sockets: accepts requests, sends attempts to servers, and responds to clients.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -6,6 +6,7 @@
 #include <memory>
 #include <string>
 
+#include "asterdrift/seconds.h"
 #include "node/config/node_config.h"
 #include "node/dispatch/balancer_host.h"
 #include "node/dispatch/in_flight_request.h"
@@ -16,35 +17,37 @@
 
 namespace asterdrift::node::dispatch {
 
-// Each request gets exactly one final response.
+// Each accepted request gets exactly one final response, unless its client disconnects first.
 class RequestDispatcher : private BalancerActionHandler {
  public:
-  // watch: called where the balancer requests a watch on discovery. config has to outlive the dispatcher.
+  // start_watch: called when the balancer requests a watch on discovery. config has to outlive the
+  // dispatcher.
   RequestDispatcher(boost::asio::io_context& io, const config::NodeConfig& config,
                     memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
-                    std::size_t max_upstream_connections, std::function<void()> watch);
+                    std::size_t max_upstream_connections, std::function<void()> start_watch);
 
   void start();
 
-  // Takes a request. on_response is called exactly once, perhaps before this returns, unless the client
-  // disconnects first. Where the rest of the body is still arriving, the request's time counts from
-  // the arrival that on_body_received() tells.
+  // Accepts a request. on_response is called exactly once, possibly before this function returns, unless the
+  // client disconnects first. If the request's body is still arriving, the request's timeout counts from the
+  // time that is passed to on_body_received().
   RequestId dispatch(DownstreamRequest request, ResponseCallback on_response);
-  // received_at: when the last byte of the body arrived, on the steady clock.
-  void on_body_received(RequestId id, double received_at);
+  // The last byte of a request's body arrived at `received_at`, on the steady clock.
+  void on_body_received(RequestId id, Seconds received_at);
 
-  // Whether a request with this Request-Id header is in flight, or has open attempts.
+  // Whether a request with this value of the Request-Id header has no final response yet, or has open
+  // attempts.
   bool is_in_flight(const std::string& client_request_id) const {
     return requests_.contains_client_request_id(client_request_id);
   }
 
-  // The client has disconnected and awaits no response.
+  // The client has disconnected and awaits no response to this request.
   void on_client_disconnected(RequestId id);
 
-  // Responds to all open requests, as for a deadline that has passed.
+  // Responds to all requests without a final response as if their deadlines had passed.
   void expire_all_requests();
 
-  // The response to requests that the node itself rejects.
+  // The response to requests that the node rejects by itself, without a decision of the balancer.
   DownstreamResponse rejection_response() const;
 
   void on_endpoint_list(const config::EndpointList& list);
@@ -52,40 +55,40 @@
 
   // Whether requests can be served: there is an endpoint, and the endpoint list is current.
   bool is_ready() const { return endpoint_list_is_current_ && has_endpoints_; }
-  // Whether discovery has brought a list or has had the time to bring one. Until then the endpoints may be
-  // older than those of which this process has been notified.
+  // Whether discovery has delivered an endpoint list, or has had the time to deliver one. Until then the
+  // only endpoints are those of the configuration, if any, and they may be outdated.
   bool is_endpoint_list_current() const { return endpoint_list_is_current_; }
   void set_max_upstream_connections(std::size_t connections) { pool_.set_max_connections(connections); }
   balancer::EndpointSetView endpoints() const { return balancer_.endpoints(); }
 
  private:
-  // Actions of the balancer.
-  void run(const balancer::SendAttempt& action) override;
-  void run(const balancer::RejectRequest& action) override;
-  void run(const balancer::FailRequest& action) override;
-  void run(const balancer::CancelAttempt& action) override;
-  void run(const balancer::WatchEndpoints& action) override;
+  // Implements BalancerActionHandler.
+  void execute(const balancer::SendAttempt& action) override;
+  void execute(const balancer::RejectRequest& action) override;
+  void execute(const balancer::FailRequest& action) override;
+  void execute(const balancer::CancelAttempt& action) override;
+  void execute(const balancer::WatchEndpoints& action) override;
   void on_action_failed(const std::string& id) override;
   void on_attempt_result_handled(const balancer::AttemptResult& result) override;
 
-  void set_deadline(InFlightRequest& request);
+  void start_deadline_timer(InFlightRequest& request);
   bool is_response_awaited(RequestId id);
   void expire(RequestId id);
   void abort(RequestId id);
   void end_after_failure(InFlightRequest& request);
-  ResponseCallback close(InFlightRequest& request);
+  ResponseCallback end_request(InFlightRequest& request);
   void respond(InFlightRequest& request, DownstreamResponse&& response);
 
-  upstream::AttemptCallbacks attempt_callbacks(RequestId id, AttemptNumber number);
-  void handle_attempt_end(RequestId id, AttemptNumber number, upstream::AttemptEnd&& end);
+  upstream::AttemptCallbacks make_attempt_callbacks(RequestId id, AttemptNumber number);
+  void handle_upstream_result(RequestId id, AttemptNumber number, upstream::UpstreamResult&& result);
   void handle_response_started(RequestId id, AttemptNumber number, upstream::StreamedResponse&& response);
 
-  void apply_endpoints(const config::EndpointList& list);
+  void apply_endpoint_list(const config::EndpointList& list);
 
   boost::asio::io_context& io_;
   BalancerHost balancer_;
   upstream::ConnectionPool pool_;
-  const std::function<void()> watch_;
+  const std::function<void()> start_watch_;
   const config::NodeConfig& config_;
   RequestTable requests_;
   bool endpoint_list_is_current_ = false, has_endpoints_ = false;
--- a/node/dispatch/request_id.h
+++ b/node/dispatch/request_id.h
@@ -1,4 +1,4 @@
-// The identity of a request within one process of the node.
+// Identifies a request within one process of the node.
 #pragma once
 
 #include <cstdint>
@@ -8,15 +8,16 @@
 
 namespace asterdrift::node::dispatch {
 
-// Assigned by the dispatcher and never reused. It is not the client's Request-Id, which a client may reuse.
+// Assigned by the dispatcher and never reused, unlike the client's Request-Id header, which a client may
+// reuse.
 enum class RequestId : std::uint64_t {};
 
-// Counts the attempts of one request from 0, as the balancer does.
+// The attempts of one request are numbered from 0, by the node and by the balancer alike.
 using AttemptNumber = int;
 
-// The form in which the balancer's events and actions carry an id.
+// Returns the text that identifies the request in the balancer's events and actions.
 std::string to_text(RequestId id);
-// Empty where the text is not an id that to_text() has written.
+// Returns nothing if the text is not the result of to_text().
 std::optional<RequestId> parse_request_id(std::string_view text);
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_table.cpp
+++ b/node/dispatch/request_table.cpp
@@ -5,7 +5,7 @@
 namespace asterdrift::node::dispatch {
 
 void RequestTable::insert(const std::shared_ptr<InFlightRequest>& request) {
-  client_request_ids_.insert(request->request.client_request_id);
+  client_request_ids_.insert(request->downstream_request.client_request_id);
   requests_[request->id] = request;
 }
 
@@ -23,8 +23,8 @@
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   const InFlightRequest& request = *it->second;
-  if (request.is_open() || request.has_open_attempts()) return;
-  client_request_ids_.erase(request.request.client_request_id);
+  if (request.awaits_response() || request.has_open_attempts()) return;
+  client_request_ids_.erase(request.downstream_request.client_request_id);
   requests_.erase(it);
 }
 
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -7,19 +7,19 @@
 namespace asterdrift::node::telemetry {
 namespace {
 
-// By Eviction::ConnectionState.
+// The names of the states in the report, in the order of Eviction::ConnectionState.
 constexpr std::array kEvictionStateNames = {"new", "idle", "partial_request", "closing"};
 
 using http::kOk;
 using http::kServiceUnavailable;
 using http::kTooManyRequests;
 
-std::string line(const std::string& name, std::uint64_t value, char kind) {
+std::string metric_line(const std::string& name, std::uint64_t value, char kind) {
   return "app." + name + ":" + std::to_string(value) + "|" + kind + "\n";
 }
 
-// Replaces characters that have a meaning in the report.
-std::string reported_name(std::string name) {
+// Replaces the characters that separate parts of the report, and control characters.
+std::string to_metric_name(std::string name) {
   const auto is_reserved = [](unsigned char c) { return c <= ' ' || c == ':' || c == '|' || c == 0x7f; };
   std::replace_if(name.begin(), name.end(), is_reserved, '_');
   return name;
@@ -28,7 +28,7 @@
 }  // namespace
 
 Metrics::Metrics(const std::vector<std::string>& request_classes) {
-  for (const std::string& name : request_classes) classes_.push_back({reported_name(name)});
+  for (const std::string& name : request_classes) classes_.push_back({to_metric_name(name)});
 }
 
 void Metrics::count_response(std::size_t request_class, unsigned status) {
@@ -52,21 +52,21 @@
   std::string out;
   for (const ClassCounters& counters : classes_) {
     const std::string prefix = "downstream_requests." + counters.name + ".";
-    out += line(prefix + "completed", counters.completed, 'c');
-    out += line(prefix + "rejected", counters.rejected, 'c');
-    out += line(prefix + "failed", counters.failed, 'c');
+    out += metric_line(prefix + "completed", counters.completed, 'c');
+    out += metric_line(prefix + "rejected", counters.rejected, 'c');
+    out += metric_line(prefix + "failed", counters.failed, 'c');
   }
-  out += line("upstream_requests", attempts_, 'c');
-  out += line("pending", gauges.pending, 'g');
-  out += line("members", gauges.members, 'g');
-  out += line("members_unavailable", gauges.members_unavailable, 'g');
+  out += metric_line("upstream_requests", attempts_, 'c');
+  out += metric_line("pending", gauges.pending_requests, 'g');
+  out += metric_line("members", gauges.listed_endpoints, 'g');
+  out += metric_line("members_unavailable", gauges.unavailable_endpoints, 'g');
   static_assert(kEvictionStateNames.size() == kEvictionStates);
   for (std::size_t state = 0; state < kEvictionStates; ++state) {
     const std::string prefix = std::string("downstream_evictions.") + kEvictionStateNames.at(state) + ".";
-    out += line(prefix + "recent", evictions_.at(state).recent, 'c');
-    out += line(prefix + "older", evictions_.at(state).older, 'c');
+    out += metric_line(prefix + "recent", evictions_.at(state).recent, 'c');
+    out += metric_line(prefix + "older", evictions_.at(state).older, 'c');
   }
-  out += line("downstream_evictions.without_waiting_client", evictions_without_waiting_client_, 'c');
+  out += metric_line("downstream_evictions.without_waiting_client", evictions_without_waiting_client_, 'c');
   return out;
 }
 
--- a/node/telemetry/metrics.h
+++ b/node/telemetry/metrics.h
@@ -1,4 +1,4 @@
-// What the node counts for its operators.
+// The metrics that the node reports to its operators.
 #pragma once
 
 #include <array>
@@ -9,46 +9,47 @@
 
 namespace asterdrift::node::telemetry {
 
-// A client's connection that was closed to make room for others.
+// The eviction of a client's connection: it was closed to make room for other connections.
 struct Eviction {
   enum class ConnectionState {
-    kNew,             // had sent nothing
-    kIdle,            // had had a response, and had sent nothing since
-    kPartialRequest,  // had sent a part of a request
-    kClosing          // had had its last response
+    kNew,             // the client had sent nothing
+    kIdle,            // the client had sent nothing since its last response
+    kPartialRequest,  // the client had sent a part of a request
+    kClosing          // the last response of the connection had been sent
   };
 
   ConnectionState connection_state = ConnectionState::kNew;
-  bool is_recent = false;  // it had been in this state for a moment only
-  bool client_is_waiting = false;
+  bool is_recent = false;          // the connection had been in this state only for a moment
+  bool client_is_waiting = false;  // a client was waiting for its connection to be accepted
 };
 
-// Counters. Gauges are read from their owners at the time of a report.
+// The node's counters. The values of gauges are passed in for each report.
 class Metrics {
  public:
   struct Gauges {
-    std::size_t pending = 0;              // requests without a complete response
-    std::size_t members = 0;              // endpoints listed
-    std::size_t members_unavailable = 0;  // of the listed ones, not sent to now
+    std::size_t pending_requests = 0;       // requests without a complete response
+    std::size_t listed_endpoints = 0;       // endpoints in the endpoint list
+    std::size_t unavailable_endpoints = 0;  // listed endpoints that are sent no requests now
   };
 
-  // request_classes: their names, in the order of the settings.
+  // request_classes: the names of the request classes, in the order of the settings.
   explicit Metrics(const std::vector<std::string>& request_classes);
 
-  // A request has had its final response. 200 counts as completed, 429 and 503 as rejected, anything else as
+  // Counts a final response. The status 200 counts as completed, 429 and 503 as rejected, and any other as
   // failed.
   void count_response(std::size_t request_class, unsigned status);
-  // An attempt's last byte has been written to a server.
+  // Counts an attempt whose request has been written completely to a server.
   void count_attempt() { ++attempts_; }
 
   void count_eviction(const Eviction& eviction);
 
-  // One metric a line. Every class is reported from the start.
+  // Returns one line for each metric. Every request class is reported from the start, also while its counters
+  // are 0.
   std::string report(const Gauges& gauges) const;
 
  private:
   struct ClassCounters {
-    std::string name;
+    std::string name;  // as reported
     std::uint64_t completed = 0, rejected = 0, failed = 0;
   };
 
@@ -58,7 +59,7 @@
   static constexpr std::size_t kEvictionStates = 4;
 
   std::vector<ClassCounters> classes_;
-  std::array<EvictionCounters, kEvictionStates> evictions_;  // by state
+  std::array<EvictionCounters, kEvictionStates> evictions_;  // by Eviction::ConnectionState
   std::uint64_t evictions_without_waiting_client_ = 0;
   std::uint64_t attempts_ = 0;
 };
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -1,4 +1,4 @@
-// An attempt at a server: the request that is forwarded, and its result.
+// An attempt to execute a request on a server: the request that is forwarded, and its result.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 #include <string>
 
 #include "asterdrift/balancer/events.h"
+#include "asterdrift/seconds.h"
 #include "node/memory/body_stream.h"
 #include "node/memory/memory_budget.h"
 
@@ -15,49 +16,54 @@
 
 // A request as it is forwarded to a server. Shared by the attempts of one request.
 struct UpstreamRequest {
-  std::string head;           // request line and headers, without Request-Timeout-Ms and the empty line
-  std::string buffered_body;  // complete, or its first bytes
+  std::string head;  // request line and headers, without Request-Timeout-Ms and the empty line
+  // The complete body, or the first bytes of a body whose other bytes follow in body_stream.
+  std::string buffered_body;
   memory::MemoryReservation body_reservation;
-  std::shared_ptr<memory::BodyStream> body_stream;  // the bytes that the client still sends; null: none
-  bool is_chunked = false;                          // the length of the body is not known
-  bool body_stream_consumed = false;                // some of body_stream has been sent, and is not buffered
-  // Whether the client still awaits a response; called before bytes are sent. May end the request's attempts.
+  // The bytes of the body that the client is still sending. Null: buffered_body is the complete body.
+  std::shared_ptr<memory::BodyStream> body_stream;
+  bool is_chunked = false;            // the length of the body is not known
+  bool body_stream_consumed = false;  // bytes of body_stream have been sent, and are not buffered any more
+  // Whether the client still awaits a response. Called before bytes are sent. The call may end attempts of
+  // the request.
   std::function<bool()> is_response_awaited;
 };
 
-// How an attempt has ended.
-struct AttemptEnd {
+// The result of an attempt that has ended.
+struct UpstreamResult {
   balancer::Outcome outcome = balancer::Outcome::kUnknown;
   std::string body, content_type;  // of a successful response that has not been streamed
   memory::MemoryReservation body_reservation;
-  double sent_at = 0;  // when the request was complete, where its body took the client's time; else 0
+  // When the last byte of body_stream was sent, on the steady clock. 0: the request has no body_stream, or it
+  // has not been sent completely.
+  Seconds body_stream_sent_at = 0;
 };
 
 // A successful response whose body is streamed, since it is too large or too slow to be buffered.
 struct StreamedResponse {
   std::string content_type;
-  std::optional<std::uint64_t> content_length;
+  std::optional<std::uint64_t> content_length;  // empty: not known
   std::shared_ptr<memory::BodyStream> body;
-  double sent_at = 0;  // see AttemptEnd
+  Seconds body_stream_sent_at = 0;  // see UpstreamResult
 };
 
-// How an attempt reports to the dispatcher.
+// The events of an attempt that the dispatcher is notified of.
 struct AttemptCallbacks {
-  std::function<void(AttemptEnd&&)> on_end;  // exactly once
+  std::function<void(UpstreamResult&&)> on_result;  // called exactly once
   std::function<void(StreamedResponse&&)> on_response_started;
-  std::function<void()> on_body_consumed;  // UpstreamRequest::body_stream_consumed is true from now on
-  std::function<void()> on_request_sent;   // the last byte, where the rest took the client's time
+  std::function<void()> on_body_stream_consumed;  // UpstreamRequest::body_stream_consumed has become true
+  std::function<void()> on_body_stream_sent;  // the last byte of UpstreamRequest::body_stream has been sent
 };
 
 class Connection;
 
-// Distinguishes the attempts of a connection pool. 0: none.
-enum class AttemptSerial : std::uint64_t {};
+// Identifies an attempt within a connection pool. 0: no attempt.
+enum class AttemptId : std::uint64_t {};
 
-// Identifies an attempt. Its connection may carry other attempts later.
+// Refers to an attempt. Its connection may carry other attempts later.
 struct AttemptHandle {
   std::weak_ptr<Connection> connection;
-  AttemptSerial serial{};
+  AttemptId attempt_id{};
 };
 
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/attempt_timer.cpp
+++ b/node/upstream/attempt_timer.cpp
@@ -8,17 +8,19 @@
 
 using timing::now;
 
-constexpr double kBufferTime = 0.1;    // s
-constexpr double kStallTimeout = 15;   // s without a byte of a streamed body
-constexpr double kMinRemainingMs = 1;  // ms
+// How long a response of unknown length is buffered before it is streamed.
+constexpr Seconds kMaxBufferingTime = 0.1;
+// The longest time without a byte of a streamed body.
+constexpr Seconds kStallTimeout = 15;
+constexpr double kMinRemainingMs = 1;
 constexpr double kMsPerSecond = 1000;
 
 }  // namespace
 
-void AttemptTimer::begin(double began_at, double timeout, double write_within) {
+void AttemptTimer::begin(Seconds began_at, Seconds timeout, Seconds write_timeout) {
   timeout_ = timeout;
   timeout_at_ = began_at + timeout;
-  write_by_ = began_at + write_within;
+  write_deadline_ = began_at + write_timeout;
   buffer_until_ = 0;
 }
 
@@ -27,10 +29,10 @@
   return static_cast<std::int64_t>(std::max(remaining, kMinRemainingMs));
 }
 
-double AttemptTimer::stall_timeout_at(bool awaits_client) const {
+Seconds AttemptTimer::stall_timeout_at(bool awaits_client) const {
   return (awaits_client ? now() : progress_at_) + kStallTimeout;
 }
 
-void AttemptTimer::begin_buffering() { buffer_until_ = now() + kBufferTime; }
+void AttemptTimer::begin_buffering() { buffer_until_ = now() + kMaxBufferingTime; }
 
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/attempt_timer.h
+++ b/node/upstream/attempt_timer.h
@@ -6,39 +6,40 @@
 #include <cstdint>
 #include <utility>
 
+#include "asterdrift/seconds.h"
 #include "node/timing/clock.h"
 
 namespace asterdrift::node::upstream {
 
-// Times are seconds on the steady clock, durations seconds.
+// All times are on the steady clock.
 class AttemptTimer {
  public:
   explicit AttemptTimer(boost::asio::io_context& io) : timer_(io) {}
 
-  // timeout: from `began_at` to the complete response, or to the first byte of one that is streamed.
-  // write_within: until the request is written completely.
-  void begin(double began_at, double timeout, double write_within);
-  // The timeout counts from `now` on.
-  void restart_timeout(double now) { timeout_at_ = now + timeout_; }
-  double timeout_at() const { return timeout_at_; }
-  double write_by() const { return write_by_; }
-  // What is left of the timeout, at least 1 ms.
+  // timeout: from `began_at` to the complete response, or to the first byte of a streamed response.
+  // write_timeout: from `began_at` until the request has been written completely.
+  void begin(Seconds began_at, Seconds timeout, Seconds write_timeout);
+  // Lets the timeout count from `now` on.
+  void restart_timeout(Seconds now) { timeout_at_ = now + timeout_; }
+  Seconds timeout_at() const { return timeout_at_; }
+  Seconds write_deadline() const { return write_deadline_; }
+  // The remaining part of the timeout, at least 1 ms.
   std::int64_t remaining_ms() const;
 
   // Bytes have been sent or received.
   void on_progress() { progress_at_ = timing::now(); }
-  // When a streamed body ends for lack of progress. While the client is awaited, its time does not count.
-  double stall_timeout_at(bool awaits_client) const;
+  // When a streamed body times out for lack of progress. Time in which the client is awaited does not count.
+  Seconds stall_timeout_at(bool awaits_client) const;
 
   // A response of unknown length is buffered for a short time before it is streamed.
   void begin_buffering();
   void end_buffering() { buffer_until_ = 0; }
   bool is_buffering() const { return buffer_until_ > 0; }
-  double buffer_until() const { return buffer_until_; }
+  Seconds buffer_until() const { return buffer_until_; }
 
-  // Waits until `time`, in place of an earlier wait.
+  // Waits until `time`. Replaces an earlier wait.
   template <class Handler>
-  void wait_until(double time, Handler&& handler) {
+  void wait_until(Seconds time, Handler&& handler) {
     timer_.expires_after(timing::duration_of(time - timing::now()));
     timer_.async_wait(std::forward<Handler>(handler));
   }
@@ -46,10 +47,10 @@
 
  private:
   boost::asio::steady_timer timer_;
-  double timeout_ = 0;
-  double timeout_at_ = 0, write_by_ = 0;
-  double progress_at_ = 0;
-  double buffer_until_ = 0;  // 0: not set
+  Seconds timeout_ = 0;
+  Seconds timeout_at_ = 0, write_deadline_ = 0;
+  Seconds progress_at_ = 0;
+  Seconds buffer_until_ = 0;  // 0: no response is being buffered
 };
 
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -18,7 +18,8 @@
 using boost::system::error_code;
 using timing::now;
 
-constexpr double kStaleResetTime = 0.02;  // s; a reused connection that is reset so soon was stale
+// A reused connection that is reset sooner than this after its request began was stale.
+constexpr Seconds kMaxStaleResetTime = 0.02;
 
 }  // namespace
 
@@ -35,63 +36,64 @@
   if (state_ != State::kClosed) owner_.on_closed();
 }
 
-void Connection::begin(AttemptSerial serial, std::shared_ptr<UpstreamRequest> request, double timeout,
-                       double write_within, AttemptCallbacks callbacks) {
-  serial_ = serial;
+void Connection::begin_attempt(AttemptId attempt_id, std::shared_ptr<UpstreamRequest> request,
+                               Seconds timeout, Seconds write_timeout, AttemptCallbacks callbacks) {
+  attempt_id_ = attempt_id;
   request_ = std::move(request);
   callbacks_ = std::move(callbacks);
   began_at_ = now();
   idle_time_ = state_ == State::kIdle ? began_at_ - idle_since_ : 0;
-  timer_.begin(began_at_, timeout, write_within);
+  timer_.begin(began_at_, timeout, write_timeout);
   response_.begin();
-  sent_at_ = 0;
-  is_blocked_ = false;
+  body_stream_sent_at_ = 0;
+  is_waiting_writable_ = false;
 }
 
 void Connection::connect(const tcp::endpoint& address) {
   address_ = address;
   error_code error;
   socket_.open(address.protocol(), error);
-  if (error) return end(Outcome::kNotSent);  // no descriptor left: no fault of the server
+  // Probably no file descriptor is left, which is no fault of the server.
+  if (error) return end_attempt(Outcome::kNotSent);
   socket_.set_option(tcp::no_delay(true), error);
   socket_.non_blocking(true, error);
-  set_timer(std::min({timer_.timeout_at(), timer_.write_by(), now() + owner_.connect_timeout}));
+  set_timer(std::min({timer_.timeout_at(), timer_.write_deadline(), now() + owner_.connect_timeout}));
   socket_.async_connect(address, [self = shared_from_this()](const error_code& failure) {
     if (self->state_ != State::kConnecting) return;
     self->owner_.on_connect_ended(self);
-    if (failure) return self->end(Outcome::kConnectFailed);
-    self->guarded([&] { self->start_writing(); });
+    if (failure) return self->end_attempt(Outcome::kConnectFailed);
+    self->guard([&] { self->start_writing(); });
   });
 }
 
 void Connection::start_writing() {
   state_ = State::kWriting;
   timer_.on_progress();
-  set_timer(std::min(timer_.timeout_at(), timer_.write_by()));
+  set_timer(std::min(timer_.timeout_at(), timer_.write_deadline()));
   sender_.begin(request_);
   if (request_->body_stream) {
-    wait_for_rest();
+    wait_for_body_stream();
     wait_readable();  // a server may respond before it has the complete request
   }
   write();
 }
 
-void Connection::wait_for_rest() {
-  request_->body_stream->on_readable([self = weak_from_this(), serial = serial_] {
+void Connection::wait_for_body_stream() {
+  request_->body_stream->on_readable([self = weak_from_this(), attempt_id = attempt_id_] {
     const auto connection = self.lock();
-    if (!connection || serial != connection->serial_) return;
-    if (connection->state_ != State::kWriting || connection->is_blocked_) return;
-    connection->guarded([&] { connection->write(); });
+    if (!connection || attempt_id != connection->attempt_id_) return;
+    if (connection->state_ != State::kWriting || connection->is_waiting_writable_) return;
+    connection->guard([&] { connection->write(); });
   });
 }
 
-void Connection::stop(AttemptSerial serial, Outcome outcome) {
-  if (serial == serial_ && callbacks_.on_end) end(outcome);
+void Connection::stop(AttemptId attempt_id, Outcome outcome) {
+  if (attempt_id == attempt_id_ && callbacks_.on_result) end_attempt(outcome);
 }
 
-void Connection::withdraw(AttemptSerial serial) {
+void Connection::withdraw(AttemptId attempt_id) {
   const bool is_sending = state_ == State::kWriting && !response_.is_streaming();
-  if (state_ == State::kConnecting || is_sending) stop(serial, Outcome::kNotSent);
+  if (state_ == State::kConnecting || is_sending) stop(attempt_id, Outcome::kNotSent);
 }
 
 void Connection::set_idle() {
@@ -102,14 +104,14 @@
 
 bool Connection::is_stale() { return !net::is_quiet(socket_.native_handle()); }
 
-// Ends the attempt, if there is one, and with it the connection unless it may be reused.
-void Connection::end(Outcome outcome, Reuse reuse) {
-  AttemptEnd result{outcome, {}, {}, {}, sent_at_};
-  const bool broke_at_once = idle_time_ >= kFreshIdleTime && now() - began_at_ < kStaleResetTime;
-  if (outcome == Outcome::kConnectionReset && broke_at_once) owner_.on_stale_reset();
+// Ends the current attempt, if there is one. Closes the connection unless it may be reused.
+void Connection::end_attempt(Outcome outcome, Reuse reuse) {
+  UpstreamResult result{outcome, {}, {}, {}, body_stream_sent_at_};
+  const bool was_reset_at_once = idle_time_ >= kFreshIdleTime && now() - began_at_ < kMaxStaleResetTime;
+  if (outcome == Outcome::kConnectionReset && was_reset_at_once) owner_.on_stale_reset();
   response_.finish(result);
   timer_.cancel();
-  const auto on_end = std::exchange(callbacks_, {}).on_end;
+  const auto on_result = std::exchange(callbacks_, {}).on_result;
   response_.reset();
   request_.reset();
   sender_.reset();
@@ -118,7 +120,7 @@
   } else {
     close();
   }
-  if (on_end) on_end(std::move(result));
+  if (on_result) on_result(std::move(result));
 }
 
 void Connection::close() {
@@ -130,51 +132,54 @@
   timer_.cancel();
 }
 
-// An exception, such as one for lack of memory, ends this connection alone.
+// An exception, such as one for lack of memory, ends only this connection.
 template <class Step>
-void Connection::guarded(const Step& step) {
+void Connection::guard(const Step& step) {
   try {
     step();
   } catch (const std::exception& error) {
     telemetry::log_line("upstream connection failed: endpoint " + endpoint_ + " (" + net::to_text(address_) +
                         "): " + error.what());
-    end(state_ == State::kReading ? Outcome::kUnknown : Outcome::kConnectFailed);
+    end_attempt(state_ == State::kReading ? Outcome::kUnknown : Outcome::kConnectFailed);
   }
 }
 
-void Connection::set_timer(double time) {
-  timer_.wait_until(time, [self = shared_from_this(), serial = serial_](const error_code& error) {
-    if (error || serial != self->serial_ || !self->callbacks_.on_end) return;
-    self->guarded([&] { self->on_timer(); });
+void Connection::set_timer(Seconds time) {
+  timer_.wait_until(time, [self = shared_from_this(), attempt_id = attempt_id_](const error_code& error) {
+    if (error || attempt_id != self->attempt_id_ || !self->callbacks_.on_result) return;
+    self->guard([&] { self->on_timer(); });
   });
 }
 
-// When the attempt ends, as things are. The duration of a streamed body depends on its client and its size,
-// so that no timeout applies to it, only one to the lack of progress.
-double Connection::deadline() const {
+// When the attempt times out if its state does not change. The duration of a streamed body depends on its
+// client and its size, so the only timeout of a streamed body is that for the lack of progress.
+Seconds Connection::deadline() const {
   const bool is_streaming = response_.is_streaming() || (state_ == State::kWriting && request_->body_stream);
   if (!is_streaming) return timer_.timeout_at();
-  return timer_.stall_timeout_at(response_.is_streaming() ? response_.is_stream_full() : !is_blocked_);
+  return timer_.stall_timeout_at(response_.is_streaming() ? response_.is_stream_full()
+                                                          : !is_waiting_writable_);
 }
 
-// A request that has been written completely must not count as never run.
+// A timeout must not report a completely written request as never run.
 void Connection::on_timer() {
-  if (state_ != State::kReading && now() >= timer_.write_by()) return end(Outcome::kNotSent);
-  if (state_ == State::kConnecting && now() < timer_.timeout_at()) return end(Outcome::kConnectFailed);
+  if (state_ != State::kReading && now() >= timer_.write_deadline()) return end_attempt(Outcome::kNotSent);
+  if (state_ == State::kConnecting && now() < timer_.timeout_at())
+    return end_attempt(Outcome::kConnectFailed);
   const bool was_buffered = timer_.is_buffering() && now() >= timer_.buffer_until();
   if (!response_.is_streaming() && was_buffered) start_streaming();
   if (now() < deadline()) return set_timer(deadline());
-  if (response_.is_streaming()) return end(Outcome::kConnectionReset);
-  end(state_ == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed);
+  if (response_.is_streaming()) return end_attempt(Outcome::kConnectionReset);
+  end_attempt(state_ == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed);
 }
 
 void Connection::write() {
-  // No attempt may begin for a client that has disconnected, also where that has not been noticed yet.
+  // No attempt may begin for a client that has disconnected, even if the disconnection has not been handled
+  // yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
   const bool is_awaited =
       response_.is_streaming() || !request->is_response_awaited || request->is_response_awaited();
-  if (!is_awaited) return stop(serial_, Outcome::kNotSent);
-  switch (sender_.send(callbacks_.on_body_consumed)) {
+  if (!is_awaited) return stop(attempt_id_, Outcome::kNotSent);
+  switch (sender_.send(callbacks_.on_body_stream_consumed)) {
     case RequestSender::Result::kComplete:
       return on_request_written();
     case RequestSender::Result::kBlocked:
@@ -183,9 +188,9 @@
       return;
     case RequestSender::Result::kTruncated:
     case RequestSender::Result::kOverdue:
-      return end(Outcome::kNotSent);
+      return end_attempt(Outcome::kNotSent);
     case RequestSender::Result::kFailed:
-      return end(Outcome::kConnectFailed);
+      return end_attempt(Outcome::kConnectFailed);
   }
 }
 
@@ -193,26 +198,26 @@
   state_ = State::kReading;
   owner_.metrics.count_attempt();
   if (request_->body_stream) {
-    sent_at_ = now();
-    timer_.restart_timeout(sent_at_);
+    body_stream_sent_at_ = now();
+    timer_.restart_timeout(body_stream_sent_at_);
     set_timer(timer_.timeout_at());
-    callbacks_.on_request_sent();
+    callbacks_.on_body_stream_sent();
   }
   wait_readable();
 }
 
 void Connection::wait_writable() {
-  is_blocked_ = true;
-  const auto on_writable = [self = shared_from_this(), serial = serial_](const error_code& error) {
-    if (self->state_ != State::kWriting || serial != self->serial_) return;
-    self->is_blocked_ = false;
-    if (error) return self->end(Outcome::kConnectFailed);
-    self->guarded([&] { self->write(); });
+  is_waiting_writable_ = true;
+  const auto on_writable = [self = shared_from_this(), attempt_id = attempt_id_](const error_code& error) {
+    if (self->state_ != State::kWriting || attempt_id != self->attempt_id_) return;
+    self->is_waiting_writable_ = false;
+    if (error) return self->end_attempt(Outcome::kConnectFailed);
+    self->guard([&] { self->write(); });
   };
   socket_.async_wait(tcp::socket::wait_write, on_writable);
 }
 
-// At most one wait is pending. It stays while the connection is idle, and the next attempt takes it over.
+// At most one wait is pending. It stays pending while the connection is idle, and serves the next attempt.
 void Connection::wait_readable() {
   if (is_waiting_readable_ || state_ == State::kClosed) return;
   is_waiting_readable_ = true;
@@ -227,13 +232,13 @@
     owner_.on_idle_ended(shared_from_this());
     close();
   } else if (state_ == State::kReading || state_ == State::kWriting) {
-    if (error) return end(outcome_of_break());
-    guarded([&] { read(); });
+    if (error) return end_attempt(outcome_of_connection_loss());
+    guard([&] { read(); });
   }
 }
 
-// The attempt's outcome where the connection breaks now.
-Outcome Connection::outcome_of_break() const {
+// The attempt's outcome if the connection is lost in its current state.
+Outcome Connection::outcome_of_connection_loss() const {
   return state_ == State::kWriting ? Outcome::kConnectFailed : Outcome::kConnectionReset;
 }
 
@@ -241,24 +246,24 @@
   error_code error;
   const std::size_t size = socket_.read_some(asio::buffer(owner_.read_buffer), error);
   if (error == asio::error::would_block) return wait_readable();
-  if (error == asio::error::eof && response_.finish_at_close()) return end(response_.outcome());
-  if (error) return end(outcome_of_break());
+  if (error == asio::error::eof && response_.finish_at_close()) return end_attempt(response_.outcome());
+  if (error) return end_attempt(outcome_of_connection_loss());
   timer_.on_progress();
-  switch (response_.parse({owner_.read_buffer.data(), size}, [this] { handle_body(); })) {
+  switch (response_.parse({owner_.read_buffer.data(), size}, [this] { handle_body_bytes(); })) {
     case ResponseParser::Result::kInvalid:
-      return end(Outcome::kUnknown);
+      return end_attempt(Outcome::kUnknown);
     case ResponseParser::Result::kComplete: {
       const bool may_reuse = state_ == State::kReading && response_.is_keep_alive();
-      return end(response_.outcome(), may_reuse ? Reuse::kAllowed : Reuse::kNever);
+      return end_attempt(response_.outcome(), may_reuse ? Reuse::kAllowed : Reuse::kNever);
     }
     case ResponseParser::Result::kIncomplete:
       if (!response_.is_stream_full()) wait_readable();  // else once the stream is writable
   }
 }
 
-void Connection::handle_body() {
+void Connection::handle_body_bytes() {
   switch (response_.receive_body()) {
-    case ResponseReceiver::BodyState::kBuffered:
+    case ResponseReceiver::BodyState::kReceiving:
       return;
     case ResponseReceiver::BodyState::kTooLarge:
       return start_streaming();
@@ -269,21 +274,22 @@
   }
 }
 
-// From now on the response belongs to its client: its bytes are forwarded as they arrive.
+// Forwards the response to its client from now on: its bytes are sent as they arrive, and the attempt cannot
+// be retried.
 void Connection::start_streaming() {
   timer_.end_buffering();
-  const auto on_writable = [self = weak_from_this(), serial = serial_] {
+  const auto on_writable = [self = weak_from_this(), attempt_id = attempt_id_] {
     const auto connection = self.lock();
-    if (connection && serial == connection->serial_) connection->on_stream_writable();
+    if (connection && attempt_id == connection->attempt_id_) connection->on_stream_writable();
   };
-  callbacks_.on_response_started(response_.start_streaming(sent_at_, on_writable));
+  callbacks_.on_response_started(response_.start_streaming(body_stream_sent_at_, on_writable));
   set_timer(deadline());
 }
 
 void Connection::on_stream_writable() {
   if (!response_.is_streaming()) return;
-  if (response_.is_stream_abandoned()) return end(Outcome::kCancelled);
-  timer_.on_progress();  // the client was awaited
+  if (response_.is_stream_abandoned()) return end_attempt(Outcome::kCancelled);
+  timer_.on_progress();  // time in which the client was awaited does not count as a stall
   wait_readable();
 }
 
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -1,4 +1,4 @@
-// One connection to a server and, while it carries one, the attempt on it.
+// One connection to a server, and the attempt that it carries.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,6 +7,7 @@
 #include <memory>
 #include <string>
 
+#include "asterdrift/seconds.h"
 #include "node/upstream/attempt.h"
 #include "node/upstream/attempt_timer.h"
 #include "node/upstream/connection_owner.h"
@@ -15,60 +16,60 @@
 
 namespace asterdrift::node::upstream {
 
-// s; a connection that has been idle for less is rarely stale.
-constexpr double kFreshIdleTime = 0.1;
+// A connection that has been idle for less than this is rarely stale.
+constexpr Seconds kFreshIdleTime = 0.1;
 
-// Carries one attempt at a time. Owned by its pool while it is idle or being established, and by pending
-// operations on its socket.
+// Carries one attempt at a time. Owned by its pool while the connection is idle or being established, and by
+// the pending operations on its socket.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using List = std::list<std::shared_ptr<Connection>>;
 
-  // endpoint: the name of the server. generation: distinguishes the server's processes and addresses.
+  // endpoint: the name of the server. generation: differs between the server's incarnations and addresses.
   Connection(ConnectionOwner& owner, std::string endpoint, std::uint64_t generation);
   ~Connection();
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Takes an attempt; connect() or start_writing() has to follow. The timeout counts from when the request is
-  // sent. A request that is not written completely after `write_within` ends as not sent. Both in seconds.
-  void begin(AttemptSerial serial, std::shared_ptr<UpstreamRequest> request, double timeout,
-             double write_within, AttemptCallbacks callbacks);
+  // Begins an attempt; connect() or start_writing() has to follow. For the timeouts see
+  // ConnectionPool::start_attempt().
+  void begin_attempt(AttemptId attempt_id, std::shared_ptr<UpstreamRequest> request, Seconds timeout,
+                     Seconds write_timeout, AttemptCallbacks callbacks);
   void connect(const boost::asio::ip::tcp::endpoint& address);
   void start_writing();
 
-  // Ends an attempt unless it has ended.
-  void stop(AttemptSerial serial, balancer::Outcome outcome);
-  // Ends an attempt as not sent unless it has been written completely, or its response has begun.
-  void withdraw(AttemptSerial serial);
+  // Ends an attempt unless it has already ended.
+  void stop(AttemptId attempt_id, balancer::Outcome outcome);
+  // Ends an attempt as not sent unless its request has been written completely, or its response has begun.
+  void withdraw(AttemptId attempt_id);
 
-  AttemptHandle handle() { return {weak_from_this(), serial_}; }
+  AttemptHandle handle() { return {weak_from_this(), attempt_id_}; }
   const std::string& endpoint() const { return endpoint_; }
   std::uint64_t generation() const { return generation_; }
 
-  // Between attempts.
+  // The connection waits for its next attempt.
   void set_idle();
-  double idle_since() const { return idle_since_; }
-  // Whether an idle connection has been closed by its server, or has unexpected bytes.
+  Seconds idle_since() const { return idle_since_; }
+  // Whether an idle connection has been closed by its server, or has received unexpected bytes.
   bool is_stale();
   void close();
 
-  List::iterator idle_position;  // in the owner's list, while it is idle
+  List::iterator idle_position;  // in the owner's list of idle connections, while this connection is idle
 
  private:
   enum class State { kConnecting, kWriting, kReading, kIdle, kClosed };
   enum class Reuse { kAllowed, kNever };
 
   template <class Step>
-  void guarded(const Step& step);
-  void end(balancer::Outcome outcome, Reuse reuse = Reuse::kNever);
-  balancer::Outcome outcome_of_break() const;
+  void guard(const Step& step);
+  void end_attempt(balancer::Outcome outcome, Reuse reuse = Reuse::kNever);
+  balancer::Outcome outcome_of_connection_loss() const;
 
-  void set_timer(double time);
+  void set_timer(Seconds time);
   void on_timer();
-  double deadline() const;
+  Seconds deadline() const;
 
-  void wait_for_rest();
+  void wait_for_body_stream();
   void write();
   void on_request_written();
   void wait_writable();
@@ -76,7 +77,7 @@
   void wait_readable();
   void on_readable(const boost::system::error_code& error);
   void read();
-  void handle_body();
+  void handle_body_bytes();
   void start_streaming();
   void on_stream_writable();
 
@@ -87,19 +88,19 @@
   boost::asio::ip::tcp::socket socket_;
   boost::asio::ip::tcp::endpoint address_;  // of the server, from connect() on
   bool is_waiting_readable_ = false;
-  double idle_since_ = 0;
+  Seconds idle_since_ = 0;
 
-  // Of the current attempt. Times are seconds on the steady clock.
-  AttemptSerial serial_{};
+  // The current attempt. Times are on the steady clock.
+  AttemptId attempt_id_{};
   std::shared_ptr<UpstreamRequest> request_;
   AttemptCallbacks callbacks_;
   AttemptTimer timer_;
   RequestSender sender_;
   ResponseReceiver response_;
-  bool is_blocked_ = false;  // the server takes no bytes now
-  double began_at_ = 0;
-  double idle_time_ = 0;  // s; how long the connection had been idle before
-  double sent_at_ = 0;    // see AttemptEnd
+  bool is_waiting_writable_ = false;  // the socket takes no bytes now
+  Seconds began_at_ = 0;
+  Seconds idle_time_ = 0;            // how long the connection was idle before this attempt
+  Seconds body_stream_sent_at_ = 0;  // see UpstreamResult
 };
 
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -12,11 +12,12 @@
 using boost::system::error_code;
 using timing::now;
 
-constexpr double kAvoidIdleTime = 10;  // s after a stale connection
-constexpr double kMaxIdleTimeFraction =
-    0.9;  // of the servers' idle timeout; older connections are not reused
+// How long connections that have been idle are avoided after a stale connection.
+constexpr Seconds kAvoidIdleTime = 10;
+// Connections that have been idle for longer than this fraction of the servers' idle timeout are not reused.
+constexpr double kMaxIdleTimeFraction = 0.9;
 
-void add_connecting(const std::vector<std::shared_ptr<Connection>>& connecting,
+void append_handles(const std::vector<std::shared_ptr<Connection>>& connecting,
                     std::vector<AttemptHandle>& attempts) {
   for (const std::shared_ptr<Connection>& connection : connecting) attempts.push_back(connection->handle());
 }
@@ -33,49 +34,51 @@
   close_expired();
 }
 
-ConnectionPool::PooledEndpoint* ConnectionPool::find(const std::string& name) {
+ConnectionPool::PooledEndpoint* ConnectionPool::find_endpoint(const std::string& name) {
   const auto it = endpoints_.find(name);
   return it == endpoints_.end() ? nullptr : &it->second;
 }
 
-AttemptHandle ConnectionPool::start(const std::string& endpoint, std::shared_ptr<UpstreamRequest> request,
-                                    double timeout, double write_within, AttemptCallbacks callbacks) {
-  PooledEndpoint* known = find(endpoint);
-  if (known == nullptr || timeout <= 0 || write_within <= 0) {
-    callbacks.on_end({Outcome::kNotSent, {}, {}, {}, 0});
+AttemptHandle ConnectionPool::start_attempt(const std::string& endpoint,
+                                            std::shared_ptr<UpstreamRequest> request, Seconds timeout,
+                                            Seconds write_timeout, AttemptCallbacks callbacks) {
+  PooledEndpoint* pooled = find_endpoint(endpoint);
+  if (pooled == nullptr || timeout <= 0 || write_timeout <= 0) {
+    callbacks.on_result({Outcome::kNotSent, {}, {}, {}, 0});
     return {};
   }
-  const AttemptSerial serial{++last_serial_};
-  if (const std::shared_ptr<Connection> idle = take_idle(*known)) {
-    idle->begin(serial, std::move(request), timeout, write_within, std::move(callbacks));
+  const AttemptId attempt_id{++last_attempt_id_};
+  if (const std::shared_ptr<Connection> idle = take_idle(*pooled)) {
+    idle->begin_attempt(attempt_id, std::move(request), timeout, write_timeout, std::move(callbacks));
     idle->start_writing();
-    return {idle, serial};
+    return {idle, attempt_id};
   }
-  if (!ensure_capacity()) {
-    callbacks.on_end({Outcome::kNotSent, {}, {}, {}, 0});
+  if (!make_room()) {
+    callbacks.on_result({Outcome::kNotSent, {}, {}, {}, 0});
     return {};
   }
   ConnectionOwner& owner = *this;
-  const auto connection = std::make_shared<Connection>(owner, endpoint, known->generation);
+  const auto connection = std::make_shared<Connection>(owner, endpoint, pooled->generation);
   ++open_connections_;
-  connection->begin(serial, std::move(request), timeout, write_within, std::move(callbacks));
-  known->connecting.push_back(connection);
-  connection->connect(known->address);
-  return {connection, serial};
+  connection->begin_attempt(attempt_id, std::move(request), timeout, write_timeout, std::move(callbacks));
+  pooled->connecting.push_back(connection);
+  connection->connect(pooled->address);
+  return {connection, attempt_id};
 }
 
 void ConnectionPool::stop(const AttemptHandle& attempt, Outcome outcome) {
-  if (const auto connection = attempt.connection.lock()) connection->stop(attempt.serial, outcome);
+  if (const auto connection = attempt.connection.lock()) connection->stop(attempt.attempt_id, outcome);
 }
 
 void ConnectionPool::withdraw(const AttemptHandle& attempt) {
-  if (const auto connection = attempt.connection.lock()) connection->withdraw(attempt.serial);
+  if (const auto connection = attempt.connection.lock()) connection->withdraw(attempt.attempt_id);
 }
 
-// Takes the most recently used connection, so that the others can expire. A request must not be written on a
-// connection that the server has closed or is about to close: if it is not idempotent, it cannot be retried.
-// After a stale connection, which a middlebox may have dropped, only connections that were used a moment ago
-// are reused for some time. This holds for idempotent requests too, since few servers detect duplicates.
+// Takes the most recently used connection, so that the others can expire. A request must not be written to a
+// connection that the server has closed or is about to close: a request that is not idempotent could not be
+// retried. After a stale connection, which a middlebox may have dropped, only connections that were used a
+// moment ago are reused for kAvoidIdleTime. This applies to idempotent requests too, since few servers detect
+// duplicates.
 std::shared_ptr<Connection> ConnectionPool::take_idle(PooledEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
     std::shared_ptr<Connection> last = endpoint.idle.back();
@@ -88,29 +91,31 @@
   return nullptr;
 }
 
-// Returns whether another connection may be opened. Connections that have been idle longest are closed for
-// it.
-bool ConnectionPool::ensure_capacity() {
+// Returns whether another connection may be opened. At the limit, closes the connections that have been idle
+// for the longest time.
+bool ConnectionPool::make_room() {
   while (open_connections_ >= max_connections_ && !idle_.empty()) close_oldest_idle();
   return open_connections_ < max_connections_;
 }
 
 void ConnectionPool::set_max_connections(std::size_t connections) {
   max_connections_ = connections;
-  ensure_capacity();
+  make_room();
 }
 
 void ConnectionPool::on_connect_ended(const std::shared_ptr<Connection>& connection) {
-  if (PooledEndpoint* known = find(connection->endpoint())) std::erase(known->connecting, connection);
+  if (PooledEndpoint* pooled = find_endpoint(connection->endpoint()))
+    std::erase(pooled->connecting, connection);
 }
 
 void ConnectionPool::on_reusable(const std::shared_ptr<Connection>& connection) {
-  PooledEndpoint* known = find(connection->endpoint());
-  // The server has been replaced while the connection was busy: it leads to the previous process.
-  if (known == nullptr || known->generation != connection->generation()) return connection->close();
+  PooledEndpoint* pooled = find_endpoint(connection->endpoint());
+  // If the server has been replaced while the connection was busy, the connection leads to the previous
+  // process.
+  if (pooled == nullptr || pooled->generation != connection->generation()) return connection->close();
   if (open_connections_ > max_connections_) return connection->close();
   connection->idle_position = idle_.insert(idle_.end(), connection);
-  known->idle.push_back(connection);
+  pooled->idle.push_back(connection);
   connection->set_idle();
 }
 
@@ -118,7 +123,7 @@
 
 void ConnectionPool::remove_idle(const std::shared_ptr<Connection>& connection) {
   idle_.erase(connection->idle_position);
-  if (PooledEndpoint* known = find(connection->endpoint())) std::erase(known->idle, connection);
+  if (PooledEndpoint* pooled = find_endpoint(connection->endpoint())) std::erase(pooled->idle, connection);
 }
 
 void ConnectionPool::on_stale_reset() { avoid_idle_until_ = now() + kAvoidIdleTime; }
@@ -138,7 +143,7 @@
 
 void ConnectionPool::close_expired() {
   while (!idle_.empty() && now() - idle_.front()->idle_since() >= max_idle_time_) close_oldest_idle();
-  const double idle_time = idle_.empty() ? 0 : now() - idle_.front()->idle_since();
+  const Seconds idle_time = idle_.empty() ? 0 : now() - idle_.front()->idle_since();
   expiry_timer_.expires_after(timing::duration_of(max_idle_time_ - idle_time));
   expiry_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
@@ -146,30 +151,30 @@
 }
 
 std::vector<AttemptHandle> ConnectionPool::apply(const config::EndpointList& list) {
-  std::vector<AttemptHandle> stopped;
+  std::vector<AttemptHandle> to_stop;
   ++lists_applied_;
   for (const config::ListedEndpoint& listed : list.endpoints) {
-    if (listed.endpoint.state == EndpointState::kReady) apply_ready(listed, stopped);
+    if (listed.endpoint.state == EndpointState::kReady) apply_ready(listed, to_stop);
   }
   for (const config::ListedEndpoint& listed : list.endpoints) {
     if (listed.endpoint.state == EndpointState::kReady) continue;
     const auto it = endpoints_.find(listed.endpoint.address);
-    if (it != endpoints_.end()) remove(it, stopped);
+    if (it != endpoints_.end()) remove_endpoint(it, to_stop);
   }
   for (auto it = endpoints_.begin(); list.is_snapshot && it != endpoints_.end();) {
     const auto endpoint = it++;
-    if (endpoint->second.last_list != lists_applied_) remove(endpoint, stopped);
+    if (endpoint->second.last_list != lists_applied_) remove_endpoint(endpoint, to_stop);
   }
-  return stopped;
+  return to_stop;
 }
 
-void ConnectionPool::apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& stopped) {
+void ConnectionPool::apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& to_stop) {
   PooledEndpoint& endpoint = endpoints_[listed.endpoint.address];
-  // Another process, or the same at another address: connections that are idle or being established are of
-  // no use.
+  // For a new incarnation or a new address, connections that are idle or being established cannot be used any
+  // more.
   if (endpoint.address != listed.socket_address || endpoint.started_at != listed.endpoint.started_at) {
     close_idle(endpoint);
-    add_connecting(endpoint.connecting, stopped);
+    append_handles(endpoint.connecting, to_stop);
     endpoint.generation = ++last_generation_;
   }
   endpoint.address = listed.socket_address;
@@ -177,9 +182,10 @@
   endpoint.last_list = lists_applied_;
 }
 
-// A request that awaits its connection must not be written to an endpoint that is draining by then.
-void ConnectionPool::remove(Endpoints::iterator endpoint, std::vector<AttemptHandle>& stopped) {
-  add_connecting(endpoint->second.connecting, stopped);
+// Includes the attempts that wait for a connection in those to stop: they must not be written to an endpoint
+// that is draining by the time the connection is established.
+void ConnectionPool::remove_endpoint(Endpoints::iterator endpoint, std::vector<AttemptHandle>& to_stop) {
+  append_handles(endpoint->second.connecting, to_stop);
   close_idle(endpoint->second);
   endpoints_.erase(endpoint);
 }
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -1,4 +1,4 @@
-// Attempts at servers, on a pool of persistent connections for each endpoint.
+// Runs attempts on a pool of keep-alive connections for each endpoint.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,6 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "node/config/endpoint_list.h"
 #include "node/config/node_config.h"
 #include "node/upstream/attempt.h"
@@ -17,42 +18,45 @@
 
 namespace asterdrift::node::upstream {
 
-// Limits the connections to all endpoints together, and closes those that have been idle for long.
+// Limits the number of connections to all endpoints together, and closes connections that have been idle for
+// too long.
 class ConnectionPool : private ConnectionOwner {
  public:
   ConnectionPool(boost::asio::io_context& io, const config::NodeConfig& config,
                  memory::MemoryBudget& body_budget, telemetry::Metrics& metrics, std::size_t max_connections);
 
-  // Starts an attempt. Its end may come before this returns. The timeout counts from when the request is
-  // sent. A request that is not written completely after `write_within` ends as not sent. Both in seconds.
-  AttemptHandle start(const std::string& endpoint, std::shared_ptr<UpstreamRequest> request, double timeout,
-                      double write_within, AttemptCallbacks callbacks);
+  // Starts an attempt. It may end before this function returns. The timeout counts from when the request is
+  // sent. A request that is not written completely within `write_timeout` ends as not sent.
+  AttemptHandle start_attempt(const std::string& endpoint, std::shared_ptr<UpstreamRequest> request,
+                              Seconds timeout, Seconds write_timeout, AttemptCallbacks callbacks);
 
-  // Ends an attempt unless it has ended.
+  // Ends an attempt unless it has already ended.
   void stop(const AttemptHandle& attempt, balancer::Outcome outcome);
 
-  // Ends an attempt as not sent unless it has been written completely, or its response has begun.
+  // Ends an attempt as not sent unless its request has been written completely, or its response has begun.
   void withdraw(const AttemptHandle& attempt);
 
-  // Applies a snapshot or changes. The cost is that of the endpoints in the list, for a snapshot also that of
-  // the endpoints from before. No more attempts start at endpoints that are draining or removed. Returns the
-  // attempts that await a connection to such an endpoint, or to an endpoint's previous address; the caller
-  // stops them as not sent.
+  // Applies a snapshot or an incremental list. The cost is proportional to the number of endpoints in the
+  // list, for a snapshot also to the number of previous endpoints. No more attempts start at endpoints that
+  // are draining or removed. Returns the attempts that wait for a connection to such an endpoint, or to an
+  // earlier incarnation or address of an endpoint; the caller stops them as not sent.
   std::vector<AttemptHandle> apply(const config::EndpointList& list);
 
-  // Idle connections beyond the limit are closed.
+  // Changes the limit, and closes idle connections that exceed it.
   void set_max_connections(std::size_t connections);
 
-  std::size_t endpoints() const { return endpoints_.size(); }  // that may be sent to
+  // The number of endpoints that accept new requests.
+  std::size_t endpoint_count() const { return endpoints_.size(); }
 
  private:
-  // There may be tens of thousands, of which few are ever used: an unused one allocates no other memory.
+  // There may be tens of thousands of endpoints, few of which are ever used, so an unused endpoint allocates
+  // no memory besides this struct.
   struct PooledEndpoint {
     boost::asio::ip::tcp::endpoint address;
-    std::uint32_t last_list = 0;  // the last list with this endpoint, by lists_applied_
-    double started_at = 0;
-    std::uint64_t generation = 0;                   // new with each process or address
-    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used at the back
+    std::uint32_t last_list = 0;  // the value of lists_applied_ for the last list with this endpoint
+    Seconds started_at = 0;
+    std::uint64_t generation = 0;                   // changes with each incarnation or address
+    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used is last
     std::vector<std::shared_ptr<Connection>> connecting;
   };
   using Endpoints = std::unordered_map<std::string, PooledEndpoint>;
@@ -63,24 +67,25 @@
   void on_stale_reset() override;
   void on_closed() override { --open_connections_; }
 
-  PooledEndpoint* find(const std::string& name);
+  PooledEndpoint* find_endpoint(const std::string& name);
   std::shared_ptr<Connection> take_idle(PooledEndpoint& endpoint);
-  bool ensure_capacity();
+  bool make_room();
   void remove_idle(const std::shared_ptr<Connection>& connection);
   void close_oldest_idle();
   void close_idle(PooledEndpoint& endpoint);
   void close_expired();
-  void apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& stopped);
-  void remove(Endpoints::iterator endpoint, std::vector<AttemptHandle>& stopped);
+  void apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& to_stop);
+  void remove_endpoint(Endpoints::iterator endpoint, std::vector<AttemptHandle>& to_stop);
 
-  const double max_idle_time_;  // s
+  const Seconds max_idle_time_;
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
-  double avoid_idle_until_ = 0;  // after a stale connection
-  std::uint64_t last_serial_ = 0, last_generation_ = 0;
+  // Until this time, only connections that were used a moment ago are reused. Set after a stale connection.
+  Seconds avoid_idle_until_ = 0;
+  std::uint64_t last_attempt_id_ = 0, last_generation_ = 0;
   std::uint32_t lists_applied_ = 0;
   Endpoints endpoints_;
-  Connection::List idle_;  // of all endpoints, the longest idle first
+  Connection::List idle_;  // of all endpoints; the longest idle is first
   boost::asio::steady_timer expiry_timer_;
 };
 
--- a/node/upstream/request_sender.cpp
+++ b/node/upstream/request_sender.cpp
@@ -17,13 +17,13 @@
   writer_.reset();
 }
 
-RequestSender::Result RequestSender::send(const std::function<void()>& on_body_consumed) {
+RequestSender::Result RequestSender::send(const std::function<void()>& on_body_stream_consumed) {
   for (;;) {
     if (const std::optional<Result> stopped = write_piece()) return *stopped;
     const bool was_consumed = request_->body_stream_consumed;
     switch (writer_.next()) {
       case RequestWriter::Next::kPiece:
-        if (request_->body_stream_consumed && !was_consumed) on_body_consumed();
+        if (request_->body_stream_consumed && !was_consumed) on_body_stream_consumed();
         break;
       case RequestWriter::Next::kWait:
         return Result::kAwaitsClient;
@@ -35,10 +35,10 @@
   }
 }
 
-// Returns why the piece has not been written completely; empty where it has.
+// Returns why the current piece has not been written completely, or nothing if it has.
 std::optional<RequestSender::Result> RequestSender::write_piece() {
-  while (!writer_.piece_is_written()) {
-    if (timing::now() >= timer_.write_by()) return Result::kOverdue;
+  while (!writer_.is_piece_written()) {
+    if (timing::now() >= timer_.write_deadline()) return Result::kOverdue;
     boost::system::error_code error;
     writer_.advance(socket_.write_some(writer_.buffers(), error));
     if (error == boost::asio::error::would_block) return Result::kBlocked;
--- a/node/upstream/request_sender.h
+++ b/node/upstream/request_sender.h
@@ -12,17 +12,17 @@
 
 namespace asterdrift::node::upstream {
 
-// Writes synchronously, as much as the socket takes. With a composed asynchronous operation, whose handler
-// would run some time after the last byte has been written, a timeout in between would take a complete
-// request for an incomplete one.
+// Writes synchronously, as much as the socket takes. The handler of a composed asynchronous operation would
+// run some time after the last byte has been written, and a timeout in between would treat a complete request
+// as an incomplete one.
 class RequestSender {
  public:
   enum class Result {
     kComplete,      // the last byte has been written
     kBlocked,       // the socket takes no bytes now
-    kAwaitsClient,  // the client has not sent more yet
-    kTruncated,     // the client has not sent the complete body
-    kOverdue,       // the time for writing the request has ended
+    kAwaitsClient,  // all bytes that the client has sent so far have been written
+    kTruncated,     // the client will not send the complete body
+    kOverdue,       // the write deadline has passed
     kFailed         // the connection has failed
   };
 
@@ -32,8 +32,8 @@
   void begin(std::shared_ptr<UpstreamRequest> request);
   void reset();
 
-  // on_body_consumed: see AttemptCallbacks.
-  Result send(const std::function<void()>& on_body_consumed);
+  // Writes as much of the request as possible. on_body_stream_consumed: see AttemptCallbacks.
+  Result send(const std::function<void()>& on_body_stream_consumed);
 
  private:
   std::optional<Result> write_piece();
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_writer.cpp
@@ -27,22 +27,22 @@
 
 std::array<boost::asio::const_buffer, 2> RequestWriter::buffers() const {
   const std::size_t owned = owned_.size();
-  const std::size_t of_borrowed = written_ > owned ? written_ - owned : 0;
+  const std::size_t written_of_borrowed = written_ > owned ? written_ - owned : 0;
   return {written_ < owned ? boost::asio::buffer(owned_) + written_ : boost::asio::const_buffer(),
-          boost::asio::buffer(borrowed_.data(), borrowed_.size()) + of_borrowed};
+          boost::asio::buffer(borrowed_.data(), borrowed_.size()) + written_of_borrowed};
 }
 
 RequestWriter::Next RequestWriter::next() {
-  memory::BodyStream* const rest = request_->body_stream.get();
-  if (rest == nullptr || is_last_piece_) {
+  memory::BodyStream* const stream = request_->body_stream.get();
+  if (stream == nullptr || is_last_piece_) {
     std::string().swap(owned_);
     borrowed_ = {};
     return Next::kComplete;
   }
-  if (rest->is_empty() && !rest->is_finished()) return Next::kWait;
-  // The server must not execute an incomplete request.
-  if (rest->is_empty() && !rest->is_complete()) return Next::kTruncated;
-  is_last_piece_ = rest->is_empty();
+  if (stream->is_empty() && !stream->is_finished()) return Next::kWait;
+  // A server must not execute an incomplete request.
+  if (stream->is_empty() && !stream->is_complete()) return Next::kTruncated;
+  is_last_piece_ = stream->is_empty();
   borrowed_ = {};
   written_ = 0;
   if (is_last_piece_) {
@@ -50,7 +50,7 @@
     return owned_.empty() ? next() : Next::kPiece;
   }
   request_->body_stream_consumed = true;
-  owned_ = request_->is_chunked ? http::chunk_of(rest->read()) : rest->read();
+  owned_ = request_->is_chunked ? http::chunk_of(stream->read()) : stream->read();
   return Next::kPiece;
 }
 
--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_writer.h
@@ -1,4 +1,4 @@
-// The bytes of a request that is being written to a server, piece by piece. No I/O.
+// Produces the bytes of a request to a server, piece by piece. Does no I/O.
 #pragma once
 
 #include <array>
@@ -12,33 +12,35 @@
 
 namespace asterdrift::node::upstream {
 
-// Yields the head, the buffered body, and then what follows of a body that the client still sends.
+// Produces the head with the buffered body, and then the pieces of the body that the client is still sending.
 class RequestWriter {
  public:
   enum class Next {
-    kPiece,      // there are more bytes to write
-    kWait,       // for more bytes from the client
-    kTruncated,  // the client has not sent the complete body
-    kComplete    // all has been written
+    kPiece,      // the next piece is available
+    kWait,       // more bytes have to arrive from the client first
+    kTruncated,  // the client will not send the complete body
+    kComplete    // the complete request has been written
   };
 
-  // Begins with the head. timeout_ms: the value of Request-Timeout-Ms.
+  // Begins a request with its head. timeout_ms: the value of its Request-Timeout-Ms header.
   void begin(std::shared_ptr<UpstreamRequest> request, std::int64_t timeout_ms);
   void reset();
 
   // The bytes of the current piece that have not been written.
   std::array<boost::asio::const_buffer, 2> buffers() const;
-  bool piece_is_written() const { return written_ >= owned_.size() + borrowed_.size(); }
+  bool is_piece_written() const { return written_ >= owned_.size() + borrowed_.size(); }
   void advance(std::size_t bytes) { written_ += bytes; }
 
-  // After a piece has been written. The first piece of body_stream marks it as consumed.
+  // Advances to the next piece after the current one has been written. The first piece of body_stream marks
+  // body_stream as consumed.
   Next next();
 
  private:
   std::shared_ptr<UpstreamRequest> request_;
-  std::string owned_;          // bytes of this piece that the writer owns
-  std::string_view borrowed_;  // and the buffered body of the request behind them
-  std::size_t written_ = 0;    // of both
+  // The current piece consists of owned_ and then borrowed_.
+  std::string owned_;          // bytes that the writer owns
+  std::string_view borrowed_;  // the buffered body of request_, or empty
+  std::size_t written_ = 0;    // bytes of the current piece that have been written
   bool is_last_piece_ = false;
 };
 
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -12,14 +12,16 @@
 using balancer::Outcome;
 using boost::system::error_code;
 
-constexpr std::size_t kMaxHeadBytes = 16UL * 1024;  // of a response's head and of a chunk's
+// The limit for the head of a response, and for the size line of a chunk with its extensions.
+constexpr std::size_t kMaxHeadBytes = 16UL * 1024;
 constexpr int kMaxInterimResponses = 8;
 
 }  // namespace
 
 ResponseParser::ResponseParser() { begin_message(); }
 
-// Not eager: an eager parser of Beast 1.74 continues after a head whose body is over the limit.
+// The parser is not eager: an eager parser of Beast 1.74 continues after a head that announces a body over
+// the limit.
 void ResponseParser::begin_message() {
   parser_.emplace();
   parser_->body_limit(memory::kMaxBodyBytes);
@@ -79,7 +81,7 @@
   return status >= http::kContinue && status < http::kOk && status != http::kSwitchingProtocols;
 }
 
-// Whether the head defines the end of the response unambiguously.
+// Whether the head defines the length of the response unambiguously.
 bool ResponseParser::has_unambiguous_length() const {
   const auto& head = parser_->get();
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
@@ -87,13 +89,13 @@
   return encodings == 0 || boost::beast::iequals(head[beast_http::field::transfer_encoding], "chunked");
 }
 
-// Only these two statuses with the server's Not-Started header prove that a request never ran.
+// Only the statuses 503 and 504 together with the server's Not-Started header prove that a request never ran.
 Outcome ResponseParser::outcome() const {
   const auto& response = parser_->get();
   const unsigned status = response.result_int();
   if (status == http::kOk) return Outcome::kSuccess;
-  const bool may_prove = status == http::kServiceUnavailable || status == http::kGatewayTimeout;
-  if (may_prove && response["Not-Started"] == "1") return Outcome::kRejected;
+  const bool may_be_not_started = status == http::kServiceUnavailable || status == http::kGatewayTimeout;
+  if (may_be_not_started && response["Not-Started"] == "1") return Outcome::kRejected;
   return status >= http::kInternalServerError ? Outcome::kServerError : Outcome::kUnknown;
 }
 
--- a/node/upstream/response_parser.h
+++ b/node/upstream/response_parser.h
@@ -1,4 +1,4 @@
-// A server's response as it arrives. No I/O.
+// Parses a server's response as it arrives. Does no I/O.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -14,8 +14,8 @@
 
 namespace asterdrift::node::upstream {
 
-// Skips interim responses (1xx). A response whose head is too long, or whose length is ambiguous or too
-// large, is invalid: its request may have run, and its connection cannot be reused.
+// Skips interim responses (1xx). A response is invalid if its head is too long, or if its length is ambiguous
+// or too large. The request of an invalid response may have run, and the connection cannot be reused.
 class ResponseParser {
  public:
   enum class Result { kIncomplete, kComplete, kInvalid };
@@ -25,19 +25,19 @@
   // on_body is called when the head of the final response, or bytes of its body, have been parsed.
   Result parse(std::string_view bytes, const std::function<void()>& on_body);
 
-  // Whether the response is complete now that the server has shut the connection down, which ends a
-  // response with neither a length nor chunks.
+  // The server has shut down its side of the connection, which ends a response that has neither a length nor
+  // chunks. Returns whether the response is complete.
   bool finish_at_close();
 
-  // Of the final response, once its head is there.
+  // The following functions describe the final response, once its head has been parsed.
   unsigned status() const { return parser_->get().result_int(); }
   std::string content_type() const;
   std::optional<std::uint64_t> content_length() const;
   balancer::Outcome outcome() const;
-  // The bytes of the body that have been parsed; the caller may move them.
+  // The parsed bytes of the body. The caller may remove them.
   std::string& body() { return parser_->get().body(); }
   bool is_done() const { return parser_->is_done(); }
-  // After a complete response: whether the connection may carry another request.
+  // Whether the connection may carry another request after the complete response.
   bool is_keep_alive() const { return parser_->get().keep_alive() && unparsed_.empty(); }
 
  private:
--- a/node/upstream/response_receiver.cpp
+++ b/node/upstream/response_receiver.cpp
@@ -22,38 +22,39 @@
   std::string& body = parser_->body();
   if (parser_->status() != http::kOk) {
     body.clear();
-    return BodyState::kBuffered;
+    return BodyState::kReceiving;
   }
   if (stream_) {
     stream_->write(body);
     body.clear();
-    return BodyState::kBuffered;
+    return BodyState::kReceiving;
   }
   const auto length = parser_->content_length();
   const bool is_large =
       body.size() > memory::kMaxBufferedBodyBytes || (length && *length > memory::kMaxBufferedBodyBytes);
   if (is_large || !reservation_.grow_to(body.size())) return BodyState::kTooLarge;
-  return length || parser_->is_done() ? BodyState::kBuffered : BodyState::kUnknownLength;
+  return length || parser_->is_done() ? BodyState::kReceiving : BodyState::kUnknownLength;
 }
 
-StreamedResponse ResponseReceiver::start_streaming(double sent_at, memory::BodyStream::Callback on_writable) {
+StreamedResponse ResponseReceiver::start_streaming(Seconds body_stream_sent_at,
+                                                   memory::BodyStream::Callback on_writable) {
   stream_ = std::make_shared<memory::BodyStream>(io_, budget_);
   stream_->on_writable(std::move(on_writable));
   std::string& body = parser_->body();
   stream_->write(body);
   std::string().swap(body);
   reservation_.release();
-  return {parser_->content_type(), parser_->content_length(), stream_, sent_at};
+  return {parser_->content_type(), parser_->content_length(), stream_, body_stream_sent_at};
 }
 
-void ResponseReceiver::finish(AttemptEnd& end) {
-  const bool is_success = end.outcome == balancer::Outcome::kSuccess;
+void ResponseReceiver::finish(UpstreamResult& result) {
+  const bool is_success = result.outcome == balancer::Outcome::kSuccess;
   if (stream_) {
     stream_->finish(is_success);
   } else if (is_success) {
-    end.content_type = parser_->content_type();
-    end.body = std::move(parser_->body());
-    end.body_reservation = std::exchange(reservation_, {});
+    result.content_type = parser_->content_type();
+    result.body = std::move(parser_->body());
+    result.body_reservation = std::exchange(reservation_, {});
   }
 }
 
--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -21,11 +21,11 @@
 // Records the actions, and throws from those that fail a request.
 class ThrowingActions : public BalancerActionHandler {
  public:
-  void run(const balancer::SendAttempt& action) override { sent.push_back(action.id); }
-  void run(const balancer::RejectRequest&) override {}
-  void run(const balancer::FailRequest&) override { throw std::runtime_error("no memory"); }
-  void run(const balancer::CancelAttempt&) override {}
-  void run(const balancer::WatchEndpoints&) override {}
+  void execute(const balancer::SendAttempt& action) override { sent.push_back(action.id); }
+  void execute(const balancer::RejectRequest&) override {}
+  void execute(const balancer::FailRequest&) override { throw std::runtime_error("no memory"); }
+  void execute(const balancer::CancelAttempt&) override {}
+  void execute(const balancer::WatchEndpoints&) override {}
   void on_action_failed(const std::string& id) override { failed.push_back(id); }
   void on_attempt_result_handled(const balancer::AttemptResult& result) override {
     handled.push_back(result.id);
@@ -47,17 +47,17 @@
   const config::NodeConfig config = config::read_config(kConfiguration);
   ThrowingActions actions;
   BalancerHost host(io, config, actions);
-  host.post(balancer::Started{});
+  host.handle_event(balancer::Started{});
   balancer::EndpointUpdate update;
   update.endpoints = {{.address = "s0"}};
-  host.post(update);
-  host.post(request("1"));
+  host.handle_event(update);
+  host.handle_event(request("1"));
   ASSERT_EQ(actions.sent, std::vector<std::string>{"1"});
-  EXPECT_NO_THROW(host.post(
+  EXPECT_NO_THROW(host.handle_event(
       balancer::AttemptResult{.id = "1", .outcome = balancer::Outcome::kConnectionReset, .elapsed = 0.1}));
   EXPECT_EQ(actions.failed, std::vector<std::string>{"1"});
   EXPECT_EQ(actions.handled, std::vector<std::string>{"1"});
-  host.post(request("2"));
+  host.handle_event(request("2"));
   EXPECT_EQ(actions.sent.back(), "2");
 }
 
