--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server: readiness, metrics and its address.
+// The admin server: its readiness check, its metrics and its address.
 #include <csignal>
 #include <string>
 #include <utility>
@@ -9,7 +9,7 @@
 namespace asterdrift::node::testing {
 namespace {
 
-TEST(AdminServer, ReadyFollowsTheNodesState) {
+TEST(AdminServer, ReadinessFollowsStateOfNode) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.start();
@@ -23,18 +23,18 @@
   EXPECT_TRUE(contains(fixture.admin_get("/ready"), "HTTP/1.1 503 "));
 }
 
-TEST(AdminServer, ListensOnlyOnItsOwnAddress) {
+TEST(AdminServer, ListensOnlyOnItsConfiguredAddress) {
   NodeFixture fixture;
   fixture.start_with_both_servers();
   EXPECT_FALSE(contains(fixture.node->read_log_until("\n"), "admin server"))
-      << "without an address in the configuration";
+      << "no admin server starts without an address in the configuration";
   for (const char* path : {"/ready", "/metrics"}) {
     TestSocket client = fixture.connect_client();
     client.send("GET " + std::string(path) + " HTTP/1.1\r\n\r\n");
     EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 404 ")) << path;
   }
   NodeProcess node(fixture.config.to_json(), {.environment = {{"GW_MANAGEMENT", "127.0.0.1:0"}}});
-  EXPECT_GT(node.admin_port(), 0) << "the address may come from the environment";
+  EXPECT_GT(node.admin_port(), 0) << "the address may be set by the environment variable GW_MANAGEMENT";
 }
 
 TEST(AdminServer, RespondsToInvalidRequestsWithTheirStatus) {
@@ -58,7 +58,7 @@
     client.send(text);
     const std::string response = client.read_message();
     EXPECT_TRUE(contains(response, "HTTP/1.1 " + status)) << response << text.substr(0, 100);
-    EXPECT_TRUE(client.closed_by_peer()) << "one request per connection";
+    EXPECT_TRUE(client.closed_by_peer()) << "a connection carries only one request";
   }
   TestSocket silent = TestSocket::connect_to(fixture.node->admin_port());
   TestSocket incomplete = TestSocket::connect_to(fixture.node->admin_port());
@@ -84,10 +84,10 @@
   TestSocket client = fixture.connect_client();
   const TestSocket server = fixture.forward(client);
   server.send(ok_response());
-  EXPECT_TRUE(contains(client.read_message(), " 200 ")) << "clients are served too";
+  EXPECT_TRUE(contains(client.read_message(), " 200 ")) << "clients of the node are served, too";
 }
 
-TEST(AdminServer, UnusableAddressEndsTheProcess) {
+TEST(AdminServer, UnusableAddressEndsProcess) {
   NodeFixture fixture;
   for (const auto& [address, code] : {std::pair{std::string("nowhere"), 2},
                                       {"127.0.0.1:" + std::to_string(fixture.servers[0].port()), 1}}) {
@@ -125,7 +125,7 @@
   EXPECT_EQ(fixture.metric("members"), 3);
   EXPECT_EQ(fixture.metric("members_unavailable"), 1);
 
-  // Retried, since the first server has not begun it; then served.
+  // A request that its first server has not begun is retried, and counts as one completed request.
   TestSocket client = fixture.connect_client();
   client.send(request("close"));
   TestSocket first = fixture.accept_at_either_server();
@@ -141,7 +141,7 @@
   EXPECT_EQ(fixture.metric(close + "completed"), 1);
   EXPECT_EQ(fixture.metric("pending"), 0);
 
-  // Failed: it may have run.
+  // A request that may have run on a server which responds with an error counts as failed.
   client.send(request_with_id("close", "r2"));
   wait_until([&] { return !second.is_idle() || !fixture.servers_are_idle(); });
   TestSocket third = second.is_idle() ? fixture.accept_at_either_server() : std::move(second);
@@ -151,7 +151,7 @@
   EXPECT_EQ(fixture.metric(close + "failed"), 1);
   EXPECT_EQ(fixture.metric("upstream_requests"), 3);
 
-  // Cancelled by its client.
+  // A request whose client departs counts neither as completed nor as rejected.
   TestSocket departing = fixture.connect_client();
   departing.send(request_with_id("mark", "r3"));
   wait_until([&] { return fixture.metric("pending") == 1; });
@@ -159,7 +159,7 @@
   wait_until([&] { return fixture.metric("pending") == 0; });
   EXPECT_EQ(fixture.metric(mark + "completed") + fixture.metric(mark + "rejected"), 0);
 
-  // Rejected: there is no server.
+  // A request is rejected if there is no server.
   fixture.announce_snapshot(8, "");
   wait_until([&] { return fixture.metric("members") == 0; });
   TestSocket rejected = fixture.connect_client();
--- a/tests/node/crossing_events_test.cpp
+++ b/tests/node/race_conditions_test.cpp
@@ -1,4 +1,5 @@
-// Events that cross each other: closes, list changes, ends of connections and of requests.
+// Race conditions: events of clients, servers and discovery that occur at nearly the same time, such as the
+// end of a connection and a request on it. A suspended node finds events together that occur meanwhile.
 #include <string>
 #include <vector>
 
@@ -8,15 +9,15 @@
 namespace asterdrift::node::testing {
 namespace {
 
-// The node is overloaded: more input is available than it reads in one round, and the time to close
-// connections without a request has come.
-TEST(CrossingEvents, ConnectionWithAnUnreadRequestIsNotClosed) {
+// An overloaded node finds more input than it reads in one iteration of its event loop. Meanwhile the time
+// limit for new connections without a request expires: it must not close those whose request is still unread.
+TEST(RaceConditions, ConnectionWithUnreadRequestIsNotClosed) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
   std::vector<TestSocket> clients;
   clients.reserve(300);
   for (int i = 0; i < 300; ++i) clients.push_back(fixture.connect_client());
-  fixture.health_response();  // behind them in the accept queue: they have been accepted
+  fixture.health_response();  // this client is the last in the accept queue, so all others have been accepted
   const Stopwatch stopwatch;
   fixture.node->suspend();
   wait_until([&] { return stopwatch.seconds() > 2.6; });
@@ -27,8 +28,9 @@
   EXPECT_EQ(successes, 300);
 }
 
-// The response and the client's end of the connection are available together, in either order.
-TEST(CrossingEvents, ResponseWithoutAClientIsDiscarded) {
+// A response arrives together with the end of its client's connection, in either order. It must not be sent
+// to the next client of the server.
+TEST(RaceConditions, ResponseForDepartedClientIsDiscarded) {
   for (const bool response_first : {false, true}) {
     for (const Departure departure : kCloseAndReset) {
       LongTimeoutFixture fixture;
@@ -55,15 +57,17 @@
   }
 }
 
-// A server ends a keep-alive connection while the next request for it is on its way to the node.
-TEST(CrossingEvents, KeepAliveConnectionThatHasEndedIsNotUsed) {
+// A server ends its keep-alive connection while the next request for it is on its way to the node. The
+// request must be sent on a new connection.
+TEST(RaceConditions, ClosedKeepAliveConnectionIsNotReused) {
   for (const Departure departure : kCloseAndReset) {
     LongTimeoutFixture fixture;
     auto [client, server] = fixture.start_with_forwarded_request();
     server.send(ok_response());
     EXPECT_TRUE(contains(client.read_message(), " 200 "));
     fixture.node->suspend();
-    client.send(request("close", "", "next"));  // is read first
+    // The node reads this request before it notices the end of the server's connection.
+    client.send(request("close", "", "next"));
     depart(server, departure);
     fixture.node->resume();
     TestSocket new_server = fixture.servers[0].accept();
@@ -74,7 +78,7 @@
   }
 }
 
-TEST(CrossingEvents, UploadInProgressCompletesOnADrainingServer) {
+TEST(RaceConditions, UploadInProgressCompletesOnDrainingServer) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -90,11 +94,12 @@
   server.send(ok_response());
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
   client.send(request("close", "", "next", "r2"));
-  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 503 ")) << "no new request goes to it";
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 503 ")) << "a draining server is sent no new request";
 }
 
-// The servers deduplicate by idempotency key within a window alone: a retry after it would run again.
-TEST(CrossingEvents, RetryAfterTheDeduplicationWindowIsNotSent) {
+// Servers deduplicate requests by idempotency key only within the deduplication window, so a retry after the
+// window could be executed a second time.
+TEST(RaceConditions, RetryAfterDeduplicationWindowIsNotSent) {
   const SlowAcceptingServer slow_server;
   LongTimeoutFixture fixture;
   fixture.config.dedup_window_s = 0.5;
--- a/tests/node/streaming_test.cpp
+++ b/tests/node/streaming_test.cpp
@@ -1,4 +1,4 @@
-// Bodies too large to be buffered, slow and chunked bodies, and bodies that break off.
+// Streamed bodies of requests and responses: large, slow, chunked and truncated ones.
 #include <algorithm>
 #include <chrono>
 #include <csignal>
@@ -17,8 +17,8 @@
 
 constexpr std::size_t kMebibyte = 1024UL * 1024;
 
-// Pseudo-random: any lost, duplicated or moved part is detected.
-std::string body_of(std::size_t size) {
+// A pseudo-random body, with which a lost, duplicated or moved part is detected.
+std::string make_body(std::size_t size) {
   std::string body(size, '\0');
   std::uint32_t state = 12345;
   for (char& byte : body) {
@@ -30,7 +30,7 @@
 
 struct ChunkedBody {
   std::string data;
-  bool is_complete = false;  // the last chunk has been received
+  bool is_complete = false;  // whether the last chunk has been received
 };
 
 ChunkedBody read_chunked_body(TestSocket& connection) {
@@ -49,8 +49,10 @@
   }
 }
 
-// The length field and the end of a head.
-std::string length_field(std::size_t size) { return "Content-Length: " + std::to_string(size) + "\r\n\r\n"; }
+// The Content-Length field and the empty line that ends a head.
+std::string length_and_end_of_head(std::size_t size) {
+  return "Content-Length: " + std::to_string(size) + "\r\n\r\n";
+}
 
 // A node with one server and an admin server.
 struct StreamingFixture : NodeFixture {
@@ -58,7 +60,7 @@
     enable_admin_server();
     start_with_one_server();
   }
-  // Accepts the next request and reads its head.
+  // Accepts the server's next connection, and reads the head of the request on it.
   TestSocket accept_request_head() const {
     TestSocket server = servers[0].accept();
     server.read_until("\r\n\r\n");
@@ -69,15 +71,16 @@
 #ifndef __SANITIZE_ADDRESS__
 constexpr long kMaxPeakMemoryKb = 16L * 1024;
 #else
-constexpr long kMaxPeakMemoryKb = std::numeric_limits<long>::max();  // the sanitizers use memory of their own
+// No limit, since the sanitizers use additional memory.
+constexpr long kMaxPeakMemoryKb = std::numeric_limits<long>::max();
 #endif
 
 TEST(Streaming, LargeResponsesUseBoundedMemory) {
   StreamingFixture fixture;
-  const std::string body = body_of(32 * kMebibyte);
+  const std::string body = make_body(32 * kMebibyte);
   TestSocket client = fixture.connect_client();
   TestSocket server = fixture.forward(client);
-  server.send("HTTP/1.1 200 OK\r\n" + length_field(body.size()));
+  server.send("HTTP/1.1 200 OK\r\n" + length_and_end_of_head(body.size()));
   const std::size_t sent = server.send_available(body);
   EXPECT_LT(sent, 24 * kMebibyte) << "a client that reads nothing blocks its server";
   std::thread sender([&] { server.send(body.substr(sent)); });
@@ -90,13 +93,13 @@
   wait_until([&] { return fixture.metric("downstream_requests.close.completed") == 1; });
   EXPECT_EQ(fixture.metric("pending"), 0);
   client.send(request_with_id("close", "r2"));
-  EXPECT_TRUE(contains(server.read_message(), "question")) << "both connections stay usable";
+  EXPECT_TRUE(contains(server.read_message(), "question")) << "both connections can be reused";
   server.send(ok_response());
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(Streaming, ResponsesOfAnyFramingAreUnchanged) {
-  const std::string body = body_of(300000);
+TEST(Streaming, BodiesOfAnyFramingAreForwardedUnchanged) {
+  const std::string body = make_body(300000);
   std::string chunked;
   for (std::size_t position = 0, size = 1; position < body.size();
        position += size, size = size % 50000 * 3 + 1) {
@@ -107,7 +110,8 @@
   const std::vector<std::string> responses = {
       status_line + "Transfer-Encoding: chunked\r\n\r\n" + chunked + "0\r\nTrailer: x\r\n\r\n",
       status_line + "Connection: close\r\n\r\n" + body,
-      "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + status_line + length_field(body.size()) + body,
+      "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + status_line + length_and_end_of_head(body.size()) +
+          body,
   };
   for (const std::string& response : responses) {
     for (const std::size_t piece : {std::size_t{1000000}, std::size_t{777}}) {
@@ -131,7 +135,7 @@
   }
 }
 
-TEST(Streaming, SmallResponseEndedByItsConnectionIsComplete) {
+TEST(Streaming, SmallResponseEndedByConnectionCloseIsComplete) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
   TestSocket server = fixture.forward(client);
@@ -140,10 +144,10 @@
   EXPECT_TRUE(contains(client.read_message(), "Content-Length: 9\r\n\r\nno length"));
 }
 
-// A body for an HTTP/1.0 client ends with its connection.
+// HTTP/1.0 clients do not understand chunks, so a body of unknown length ends with its connection.
 TEST(Streaming, Http10ClientsGetNoChunks) {
   StreamingFixture fixture;
-  const std::string body = body_of(200000);
+  const std::string body = make_body(200000);
   TestSocket client = fixture.connect_client();
   std::string old_request = request("close");
   client.send(old_request.replace(old_request.find("HTTP/1.1"), 8, "HTTP/1.0"));
@@ -160,21 +164,24 @@
     StreamingFixture fixture;
     TestSocket client = fixture.connect_client();
     TestSocket server = fixture.forward(client);
-    server.send(length_known ? "HTTP/1.1 200 OK\r\n" + length_field(1000000) + "begins"
+    server.send(length_known ? "HTTP/1.1 200 OK\r\n" + length_and_end_of_head(1000000) + "begins"
                              : "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("begins"));
-    EXPECT_TRUE(contains(client.read_until("begins"), "begins")) << "before the rest of the body";
+    EXPECT_TRUE(contains(client.read_until("begins"), "begins"))
+        << "the first bytes arrive before the rest of the body";
     EXPECT_EQ(fixture.metric("pending"), 1);
     client.close();
-    EXPECT_TRUE(server.closed_by_peer()) << "a departed client frees its server";
+    EXPECT_TRUE(server.closed_by_peer())
+        << "the node closes the connection to the server after its client has departed";
     wait_until([&] { return fixture.metric("pending") == 0; });
     EXPECT_EQ(fixture.metric("downstream_requests.close.completed"), 0);
   }
 }
 
-TEST(Streaming, BrokenResponseIsVisiblyIncomplete) {
-  for (const std::string& head : {length_field(1000000), std::string("Transfer-Encoding: chunked\r\n\r\n")}) {
+TEST(Streaming, TruncatedResponseIsNotForwardedAsComplete) {
+  for (const std::string& head :
+       {length_and_end_of_head(1000000), std::string("Transfer-Encoding: chunked\r\n\r\n")}) {
     StreamingFixture fixture;
-    const std::string first_part = body_of(100000);
+    const std::string first_part = make_body(100000);
     TestSocket client = fixture.connect_client();
     TestSocket server = fixture.forward(client);
     const bool is_chunked = contains(head, "chunked");
@@ -197,10 +204,10 @@
 TEST(Streaming, LargeRequestsUseBoundedMemory) {
   for (const bool is_chunked : {false, true}) {
     StreamingFixture fixture;
-    const std::string body = body_of(32 * kMebibyte);
+    const std::string body = make_body(32 * kMebibyte);
     TestSocket client = fixture.connect_client();
     client.send(request_head("close") + "Expect: 100-continue\r\n" +
-                (is_chunked ? "Transfer-Encoding: chunked\r\n\r\n" : length_field(body.size())));
+                (is_chunked ? "Transfer-Encoding: chunked\r\n\r\n" : length_and_end_of_head(body.size())));
     EXPECT_TRUE(contains(client.read_until("\r\n\r\n"), "HTTP/1.1 100 Continue"));
     std::string upload = body;
     if (is_chunked) {
@@ -231,17 +238,18 @@
   }
 }
 
-// A retry needs the complete body so far: the node buffers its beginning, and not what follows.
+// A retry needs all bytes of the body that have been sent. The node buffers only the first 64 KiB, so a
+// request whose body was sent beyond that is not retried.
 TEST(Streaming, OnlyBufferedRequestsAreRetried) {
-  const std::string body = body_of(32 * kMebibyte), first_part = body.substr(0, 66000);
+  const std::string body = make_body(32 * kMebibyte), first_part = body.substr(0, 66000);
   {
     NodeFixture fixture;
     fixture.servers[0].stop_listening();
     fixture.start_with_both_servers();
     TestSocket client, server;
-    for (int i = 0; i < 6; ++i) {  // some of them try the unreachable server first
+    for (int i = 0; i < 6; ++i) {  // some of the requests are first sent to the unreachable server
       client = fixture.connect_client();
-      client.send(request_head("close", "r" + std::to_string(i)) + length_field(first_part.size()) +
+      client.send(request_head("close", "r" + std::to_string(i)) + length_and_end_of_head(first_part.size()) +
                   first_part);
       if (i == 0) server = fixture.servers[1].accept();
       server.read_until("\r\n\r\n");
@@ -253,21 +261,22 @@
   NodeFixture fixture;
   fixture.start_with_both_servers();
   TestSocket client = fixture.connect_client();
-  std::thread sender([&] { client.send_available(request_head("mark") + length_field(body.size()) + body); });
+  std::thread sender(
+      [&] { client.send_available(request_head("mark") + length_and_end_of_head(body.size()) + body); });
   TestSocket server = fixture.accept_at_either_server();
   server.read_until("\r\n\r\n");
   server.read_bytes(kMebibyte);
   server.reset();
   sender.join();
   const std::string response = client.read_message();
-  EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << "no server has begun it: " << response;
+  EXPECT_TRUE(contains(response, "HTTP/1.1 503 ")) << "no server has begun the request: " << response;
   EXPECT_TRUE(fixture.servers_are_idle());
 }
 
 TEST(Streaming, IncompleteUploadOfDepartedClientIsNotCounted) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
-  client.send(request_head("close") + length_field(kMebibyte) + body_of(100000));
+  client.send(request_head("close") + length_and_end_of_head(kMebibyte) + make_body(100000));
   TestSocket server = fixture.accept_request_head();
   server.read_bytes(100000);
   EXPECT_EQ(fixture.metric("pending"), 1);
@@ -277,21 +286,23 @@
   EXPECT_EQ(fixture.metric("upstream_requests"), 0) << "no request was forwarded completely";
 }
 
-TEST(Streaming, ServerMayRespondBeforeTheEndOfTheRequest) {
+TEST(Streaming, ServerMayRespondBeforeEndOfRequest) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
-  client.send(request_head("close") + length_field(kMebibyte) + body_of(100000));
+  client.send(request_head("close") + length_and_end_of_head(kMebibyte) + make_body(100000));
   TestSocket server = fixture.accept_request_head();
   server.send(with_content_length("HTTP/1.1 503 Busy\r\nNot-Started: 1\r\n", ""));
   EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 503 "));
-  EXPECT_LT(server.read_bytes(kMebibyte).size(), kMebibyte) << "its connection is not reusable";
+  EXPECT_LT(server.read_bytes(kMebibyte).size(), kMebibyte)
+      << "the connection cannot be reused, and its upload ends";
 }
 
-// The body is malformed only after its request has been forwarded: no server may get a complete request.
-TEST(Streaming, MalformedBodyIsCutOff) {
+// A body may turn out to be malformed after its first bytes have been forwarded. The server must not receive
+// a complete request.
+TEST(Streaming, RequestWithMalformedBodyIsNotForwardedCompletely) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client();
-  client.send(request_head("close") + "Transfer-Encoding: chunked\r\n\r\n" + chunk(body_of(100000)));
+  client.send(request_head("close") + "Transfer-Encoding: chunked\r\n\r\n" + chunk(make_body(100000)));
   TestSocket server = fixture.accept_request_head();
   client.send("zz\r\n");
   EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 400 "));
@@ -305,7 +316,7 @@
   for (int i = 0; i < 4; ++i) {
     clients.push_back(fixture.connect_client());
     std::thread sender([&] {
-      clients.back().send("POST /nowhere HTTP/1.1\r\n" + length_field(8 * kMebibyte) +
+      clients.back().send("POST /nowhere HTTP/1.1\r\n" + length_and_end_of_head(8 * kMebibyte) +
                           std::string(8 * kMebibyte, 'x'));
     });
     EXPECT_TRUE(contains(clients.back().read_message(), "HTTP/1.1 404 "));
@@ -314,25 +325,28 @@
   EXPECT_LT(fixture.node->peak_memory_kb(), kMaxPeakMemoryKb);
 }
 
-// A response that is still being forwarded at the end of the drain is not cut off by the process.
-TEST(Streaming, LargeResponseOutlivesTheDrain) {
+// A response that is still being forwarded at the end of the drain is not truncated: the process does not
+// exit before the response is complete.
+TEST(Streaming, LargeResponseIsNotTruncatedByDrain) {
   StreamingFixture fixture;
   TestSocket client = fixture.connect_client(), uploading = fixture.connect_client();
   TestSocket server = fixture.forward(client);
-  server.send("HTTP/1.1 200 OK\r\n" + length_field(1000000) + "begins");
+  server.send("HTTP/1.1 200 OK\r\n" + length_and_end_of_head(1000000) + "begins");
   client.read_until("begins");
   fixture.node->signal(SIGTERM);
   fixture.node->read_log_until("draining");
   const Stopwatch stopwatch;
-  std::string unsent = request_head("close", "r2") + length_field(400000) + body_of(200000);
-  // Slowly enough to last until the end, and quickly enough not to time out before.
+  std::string unsent = request_head("close", "r2") + length_and_end_of_head(400000) + make_body(200000);
+  // The upload is slow enough to last until the end of the drain, and fast enough not to time out before
+  // that.
   wait_until([&] {
     const std::size_t piece = std::min<std::size_t>(unsent.size(), 6000);
     if (piece > 0) uploading.send(unsent.substr(0, piece));
     unsent.erase(0, piece);
     return !uploading.is_idle(100ms);
   });
-  EXPECT_TRUE(contains(uploading.read_message(), "HTTP/1.1 503 ")) << "rejected: no server has begun it";
+  EXPECT_TRUE(contains(uploading.read_message(), "HTTP/1.1 503 "))
+      << "no server has begun the upload, so it is rejected";
   EXPECT_GT(stopwatch.seconds(), 3);
   EXPECT_TRUE(uploading.closed_by_peer());
   EXPECT_TRUE(client.is_idle(300ms));
@@ -341,11 +355,12 @@
   EXPECT_EQ(fixture.node->wait_for_exit(), 0);
 }
 
-TEST(Streaming, SlowClientsAreServedAndSilentOnesTimeOut) {
+TEST(Streaming, SlowUploadIsServedAndStalledUploadTimesOut) {
   StreamingFixture fixture;
-  TestSocket slow = fixture.connect_client(), silent = fixture.connect_client();
-  const std::string body = body_of(200000), head = request_head("close") + length_field(body.size());
-  silent.send(request_head("close", "r2") + length_field(body.size()) + body.substr(0, 1000));
+  TestSocket slow = fixture.connect_client(), stalled = fixture.connect_client();
+  const std::string body = make_body(200000),
+                    head = request_head("close") + length_and_end_of_head(body.size());
+  stalled.send(request_head("close", "r2") + length_and_end_of_head(body.size()) + body.substr(0, 1000));
   std::thread sender([&] {
     for (std::size_t position = 0; position < head.size(); position += 20) {
       slow.send(head.substr(position, 20));
@@ -356,7 +371,7 @@
       std::this_thread::sleep_for(100ms);
     }
   });
-  EXPECT_TRUE(contains(silent.read_message(), "HTTP/1.1 408 "));
+  EXPECT_TRUE(contains(stalled.read_message(), "HTTP/1.1 408 "));
   TestSocket server = fixture.accept_request_head();
   EXPECT_TRUE(server.read_bytes(body.size()) == body);
   sender.join();
--- a/tests/node/upstream_connection_test.cpp
+++ b/tests/node/upstream_connection_test.cpp
@@ -1,4 +1,4 @@
-// Connections to servers: reuse, expiry, limits and drains.
+// The connections to servers: their reuse, expiry and limit, and the effect of a drain.
 #include <chrono>
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(UpstreamConnection, ConnectionToAnEarlierIncarnationIsNotUsed) {
+TEST(UpstreamConnection, ConnectionToEarlierIncarnationIsNotReused) {
   NodeFixture fixture;
   auto [client, old_server] = fixture.start_with_forwarded_request();
   const int new_incarnation_ms = 5;
@@ -26,7 +26,7 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(UpstreamConnection, ConnectionThatTheServerHasClosedIsNotUsed) {
+TEST(UpstreamConnection, ConnectionClosedByServerIsNotReused) {
   NodeFixture fixture;
   auto [client, server] = fixture.start_with_forwarded_request();
   server.send(ok_response());
@@ -37,9 +37,10 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-// A keep-alive connection that breaks under its next request costs that request its response, or an attempt.
-// Once that has been observed, requests use connections that were just used, or new ones.
-TEST(UpstreamConnection, StaleConnectionsAreNotUsed) {
+// A keep-alive connection that is reset by its server when its next request arrives costs that request an
+// attempt, or its response if it must not be retried. After such a reset, requests are sent only on
+// connections that were used a moment ago, and on new connections.
+TEST(UpstreamConnection, IdleConnectionsAreNotReusedAfterStaleConnection) {
   NodeFixture fixture;
   fixture.start_with_one_server();
   TestSocket client = fixture.connect_client();
@@ -51,7 +52,7 @@
   client.send(request("close"));
   TestSocket first = fixture.servers[0].accept();
   expect_served_by(first);
-  EXPECT_TRUE(first.is_idle(150ms)) << "idle for a while";
+  EXPECT_TRUE(first.is_idle(150ms)) << "the keep-alive connection stays open";
   client.send(request("close"));
   first.read_message();
   first.reset();
@@ -64,12 +65,12 @@
   TestSocket third = fixture.servers[0].accept();
   expect_served_by(third);
   EXPECT_TRUE(third.is_idle(150ms));
-  client.send(request("mark"));  // idempotent, but only within its deduplication window
+  client.send(request("mark"));  // may be retried, but only within the deduplication window
   TestSocket fourth = fixture.servers[0].accept();
   expect_served_by(fourth);
 }
 
-TEST(UpstreamConnection, IdleConnectionIsClosedBeforeTheServersTimeout) {
+TEST(UpstreamConnection, IdleConnectionIsClosedBeforeServerTimeout) {
   NodeFixture fixture;
   fixture.config.idle_close_s = 4;
   auto [client, server] = fixture.start_with_forwarded_request();
@@ -79,7 +80,7 @@
   EXPECT_LT(stopwatch.seconds(), 4);
 }
 
-TEST(UpstreamConnection, DrainMigratesRequestsThatWaitForAConnection) {
+TEST(UpstreamConnection, DrainMigratesRequestsThatWaitForConnection) {
   const SlowAcceptingServer unreachable_server;
   NodeFixture fixture;
   fixture.config.connect_timeout_s = 10;
@@ -99,11 +100,11 @@
   TestSocket client = fixture.connect_client();
   const Stopwatch stopwatch;
   client.send(request("close"));
-  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 503 ")) << "rejected: it has not run";
+  EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 503 ")) << "the request has not run and is rejected";
   EXPECT_LT(stopwatch.seconds(), 1.9);
 }
 
-TEST(UpstreamConnection, NewAddressOfAServerIsUsed) {
+TEST(UpstreamConnection, NewAddressOfServerIsUsed) {
   NodeFixture fixture;
   auto [client, old_server] = fixture.start_with_forwarded_request();
   old_server.send(ok_response());
@@ -111,7 +112,7 @@
   fixture.announce_changes(8, endpoint("s0", fixture.servers[1].port()));
   const Stopwatch stopwatch;
   EXPECT_TRUE(old_server.closed_by_peer());
-  EXPECT_LT(stopwatch.seconds(), 3) << "long before its idle timeout";
+  EXPECT_LT(stopwatch.seconds(), 3) << "the connection is closed long before its idle timeout";
   client.send(request("close"));
   TestSocket new_server = fixture.servers[1].accept();
   new_server.read_message();
@@ -119,9 +120,9 @@
   EXPECT_TRUE(contains(client.read_message(), " 200 "));
 }
 
-TEST(UpstreamConnection, IdleConnectionsAreClosedForAnotherServer) {
+TEST(UpstreamConnection, IdleConnectionsAreClosedToConnectToAnotherServer) {
   NodeFixture fixture;
-  fixture.config.max_sockets = 64;  // ten of them for servers
+  fixture.config.max_sockets = 64;  // allows ten connections to servers
   fixture.start_with_one_server();
   std::vector<TestSocket> clients, connections;
   for (int i = 0; i < 10; ++i) {
--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -1,4 +1,4 @@
-// The host of the balancer: what an action that throws leaves undone.
+// The host of the balancer: the effect of an action that throws an exception.
 #include "node/dispatch/balancer_host.h"
 
 #include <gtest/gtest.h>
@@ -18,8 +18,8 @@
     R"("settings":{"position":0,"peersTotal":1,"stage":1,"azs":["a"],"bounds":{},)"
     R"("categories":[{"name":"c","aim":1,"giveUp":2,"effect":"unsafe"}]}})";
 
-// Records the actions, and throws from those that fail a request.
-class ThrowingActions : public BalancerActionHandler {
+// Records the calls, and throws an exception from each FailRequest action.
+class ThrowingActionHandler : public BalancerActionHandler {
  public:
   void execute(const balancer::SendAttempt& action) override { sent.push_back(action.id); }
   void execute(const balancer::RejectRequest&) override {}
@@ -34,31 +34,32 @@
   std::vector<std::string> sent, failed, handled;
 };
 
-balancer::Request request(const std::string& id) {
+balancer::Request make_request(const std::string& id) {
   balancer::Request request;
   request.id = id;
   request.time_left = 2;
   return request;
 }
 
-// The request of the action that throws is reported, its event is handled to the end, and so is the next.
-TEST(BalancerHost, ActionThatThrowsEndsItsRequestAlone) {
+// If an action throws, its request is reported as failed. The event that caused the action is handled to its
+// end, and later events are handled, too.
+TEST(BalancerHost, ThrowingActionEndsOnlyItsRequest) {
   boost::asio::io_context io;
   const config::NodeConfig config = config::parse_config(kConfiguration);
-  ThrowingActions actions;
-  BalancerHost host(io, config, actions);
+  ThrowingActionHandler handler;
+  BalancerHost host(io, config, handler);
   host.handle_event(balancer::Started{});
   balancer::EndpointUpdate update;
   update.endpoints = {{.address = "s0"}};
   host.handle_event(update);
-  host.handle_event(request("1"));
-  ASSERT_EQ(actions.sent, std::vector<std::string>{"1"});
+  host.handle_event(make_request("1"));
+  ASSERT_EQ(handler.sent, std::vector<std::string>{"1"});
   EXPECT_NO_THROW(host.handle_event(
       balancer::AttemptResult{.id = "1", .outcome = balancer::Outcome::kConnectionReset, .elapsed = 0.1}));
-  EXPECT_EQ(actions.failed, std::vector<std::string>{"1"});
-  EXPECT_EQ(actions.handled, std::vector<std::string>{"1"});
-  host.handle_event(request("2"));
-  EXPECT_EQ(actions.sent.back(), "2");
+  EXPECT_EQ(handler.failed, std::vector<std::string>{"1"});
+  EXPECT_EQ(handler.handled, std::vector<std::string>{"1"});
+  host.handle_event(make_request("2"));
+  EXPECT_EQ(handler.sent.back(), "2");
 }
 
 }  // namespace
