--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -59,7 +59,7 @@
   if (!config_.known_endpoints) return;
   apply_endpoint_list(*config_.known_endpoints);
   const auto timer = std::make_shared<boost::asio::steady_timer>(
-      io_, timing::time_point_of(now() + kFirstEndpointListTimeout));
+      io_, timing::to_time_point(now() + kFirstEndpointListTimeout));
   timer->async_wait([this, timer](const error_code&) { endpoint_list_is_current_ = true; });
 }
 
@@ -175,7 +175,7 @@
 
 void RequestDispatcher::start_deadline_timer(InFlightRequest& request) {
   request.deadline_timer.expires_at(
-      timing::time_point_of(to_deadline(request.downstream_request).final_response_at()));
+      timing::to_time_point(to_deadline(request.downstream_request).final_response_at()));
   request.deadline_timer.async_wait([this, id = request.id](const error_code& error) {
     if (!error) expire(id);
   });
--- a/node/upstream/attempt_timer.h
+++ b/node/upstream/attempt_timer.h
@@ -40,7 +40,7 @@
   // Waits until `time`. Replaces an earlier wait.
   template <class Handler>
   void wait_until(Seconds time, Handler&& handler) {
-    timer_.expires_after(timing::duration_of(time - timing::now()));
+    timer_.expires_after(timing::to_duration(time - timing::now()));
     timer_.async_wait(std::forward<Handler>(handler));
   }
   void cancel() { timer_.cancel(); }
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -102,7 +102,7 @@
   wait_readable();
 }
 
-bool Connection::is_stale() { return !net::is_quiet(socket_.native_handle()); }
+bool Connection::is_stale() { return !net::is_idle(socket_.native_handle()); }
 
 // Ends the current attempt, if there is one. Closes the connection unless it may be reused.
 void Connection::end_attempt(Outcome outcome, Reuse reuse) {
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -144,7 +144,7 @@
 void ConnectionPool::close_expired() {
   while (!idle_.empty() && now() - idle_.front()->idle_since() >= max_idle_time_) close_oldest_idle();
   const Seconds idle_time = idle_.empty() ? 0 : now() - idle_.front()->idle_since();
-  expiry_timer_.expires_after(timing::duration_of(max_idle_time_ - idle_time));
+  expiry_timer_.expires_after(timing::to_duration(max_idle_time_ - idle_time));
   expiry_timer_.async_wait([this](const error_code& error) {
     if (!error) close_expired();
   });
@@ -182,8 +182,8 @@
   endpoint.last_list = lists_applied_;
 }
 
-// Includes the attempts that wait for a connection in those to stop: they must not be written to an endpoint
-// that is draining by the time the connection is established.
+// The attempts that wait for a connection to the endpoint have to be stopped: their requests must not be
+// written to an endpoint that is draining by the time the connection is established.
 void ConnectionPool::remove_endpoint(Endpoints::iterator endpoint, std::vector<AttemptHandle>& to_stop) {
   append_handles(endpoint->second.connecting, to_stop);
   close_idle(endpoint->second);
