--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -165,8 +165,8 @@
   if (state_ != State::kReading && now() >= timer_.write_deadline()) return end_attempt(Outcome::kNotSent);
   if (state_ == State::kConnecting && now() < timer_.timeout_at())
     return end_attempt(Outcome::kConnectFailed);
-  const bool was_buffered = timer_.is_buffering() && now() >= timer_.buffer_until();
-  if (!response_.is_streaming() && was_buffered) start_streaming();
+  const bool buffering_time_is_over = timer_.is_buffering() && now() >= timer_.buffer_until();
+  if (!response_.is_streaming() && buffering_time_is_over) start_streaming();
   if (now() < deadline()) return set_timer(deadline());
   if (response_.is_streaming()) return end_attempt(Outcome::kConnectionReset);
   end_attempt(state_ == State::kReading ? Outcome::kTimedOut : Outcome::kConnectFailed);
@@ -176,9 +176,9 @@
   // No attempt may begin for a client that has disconnected, even if the disconnection has not been handled
   // yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
-  const bool is_awaited =
+  const bool is_response_awaited =
       response_.is_streaming() || !request->is_response_awaited || request->is_response_awaited();
-  if (!is_awaited) return stop(attempt_id_, Outcome::kNotSent);
+  if (!is_response_awaited) return stop(attempt_id_, Outcome::kNotSent);
   switch (sender_.send(callbacks_.on_body_stream_consumed)) {
     case RequestSender::Result::kComplete:
       return on_request_written();
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -53,9 +53,9 @@
   // no memory besides this struct.
   struct PooledEndpoint {
     boost::asio::ip::tcp::endpoint address;
-    std::uint32_t last_list = 0;  // the value of lists_applied_ for the last list with this endpoint
-    Seconds started_at = 0;
-    std::uint64_t generation = 0;                   // changes with each incarnation or address
+    std::uint32_t last_list = 0;   // the value of lists_applied_ for the last list with this endpoint
+    Seconds started_at = 0;        // when the server process started, on the steady clock
+    std::uint64_t generation = 0;  // changes with each incarnation or address
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used is last
     std::vector<std::shared_ptr<Connection>> connecting;
   };
