--- a/node/dispatch/balancer_host.cpp
+++ b/node/dispatch/balancer_host.cpp
@@ -58,7 +58,7 @@
                            BalancerActionHandler& action_handler)
     : io_(io), action_handler_(action_handler), balancer_(config.settings, config.seed) {}
 
-balancer::EndpointSetView BalancerHost::endpoints() const { return balancer_.endpoints(now()); }
+balancer::EndpointMetrics BalancerHost::endpoints() const { return balancer_.endpoint_metrics(now()); }
 
 void BalancerHost::handle_event(balancer::Event event) {
   events_.push_back(std::move(event));
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -54,7 +54,7 @@
       config_(config) {}
 
 void RequestDispatcher::start() {
-  balancer_.handle_event(balancer::Started{});
+  balancer_.handle_event(balancer::ReplicaStarted{});
   if (!config_.settings.requires_watch) start_watch_();  // pushed endpoint lists arrive on the same stream
   if (!config_.known_endpoints) return;
   apply_endpoint_list(*config_.known_endpoints);
--- a/tests/node_unit/balancer_host_test.cpp
+++ b/tests/node_unit/balancer_host_test.cpp
@@ -48,7 +48,7 @@
   const config::NodeConfig config = config::parse_config(kConfiguration);
   ThrowingActionHandler handler;
   BalancerHost host(io, config, handler);
-  host.handle_event(balancer::Started{});
+  host.handle_event(balancer::ReplicaStarted{});
   balancer::EndpointUpdate update;
   update.endpoints = {{.address = "s0"}};
   host.handle_event(update);
