--- a/node/discovery/endpoint_watch.cpp
+++ b/node/discovery/endpoint_watch.cpp
@@ -83,7 +83,7 @@
 }
 
 void EndpointWatch::set_deadline(Seconds time) {
-  stream_.expires_after(timing::duration_of(time - timing::now()));
+  stream_.expires_after(timing::to_duration(time - timing::now()));
 }
 
 // Called when an empty line or a list is complete, or when kProgressBytes of an incomplete list have arrived.
