--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -18,8 +18,7 @@
 using json::Json;
 
 constexpr int kMinSockets = 64;
-constexpr double kMinMemoryMb = 16;
-constexpr double kMemoryEndMb = 1e6;  // the first value that is too large
+constexpr double kMinMemoryMb = 16, kMaxMemoryMb = 1e6;  // the maximum itself is too large
 constexpr int kHexadecimalBase = 16;
 
 // A configuration text, separated into the object in the field "known" and all other fields.
@@ -88,7 +87,7 @@
   if (sockets < kMinSockets) json::throw_unexpected("sockets", "64 or more");
   config.max_sockets = static_cast<std::size_t>(sockets);
   const double memory_mb = json::number_or(limits, "memory_mb", static_cast<double>(config.memory_mb));
-  if (!(memory_mb >= kMinMemoryMb && memory_mb < kMemoryEndMb)) {
+  if (!(memory_mb >= kMinMemoryMb && memory_mb < kMaxMemoryMb)) {
     json::throw_unexpected("memory_mb", "at least 16 and below 1000000");
   }
   config.memory_mb = static_cast<std::size_t>(memory_mb);
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -87,8 +87,8 @@
 }
 
 // The first snapshot from an address is needed, and is not charged. Each further snapshot that begins a watch
-// is charged to the poll budget, since invalid changes and broken watches may cause it to be sent again and
-// again without end. Later lists on the same watch are not charged.
+// is charged to the poll budget, since invalid changes and broken watches may cause discovery to send it
+// again and again without end. Later lists on the same watch are not charged.
 void DiscoveryClient::handle_list(const EndpointWatch* watch, const config::EndpointList& list,
                                   std::size_t first_list_bytes) {
   if (watch == successor_.get()) {
--- a/node/process/graceful_shutdown.cpp
+++ b/node/process/graceful_shutdown.cpp
@@ -111,9 +111,9 @@
   is_accepting_ = false;
 }
 
-// The time after the beginning at which idle connections are closed. If there is no other node, it is late:
-// clients whose connections were closed early would have no service for seconds during which this node can
-// still serve.
+// The time after the beginning at which idle connections are closed. If there is no other node, they are
+// closed late: clients whose connections were closed early would have no service for seconds during which
+// this node can still serve.
 Seconds GracefulShutdown::close_idle_time(bool is_replaced) const {
   const bool has_no_other_node = is_only_replica_ && !is_replaced;
   const Seconds close_time = has_no_other_node ? final_response_time_ - kIdleCloseLeadWithoutOtherNode
