--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "json/fields.h"
-#include "json/settings_reader.h"
+#include "json/settings_parser.h"
 
 namespace asterdrift::node::config {
 namespace {
@@ -94,7 +94,7 @@
 }
 
 void parse_settings(const Json& settings, NodeConfig& config) {
-  config.settings = json::read_settings(settings);
+  config.settings = json::parse_settings(settings);
   config.classes = parse_names(json::array(settings, "categories"));
   if (json::find(settings, "realms") != nullptr) {
     config.tenants = parse_names(json::array(settings, "realms"));
--- a/tests/node_unit/poll_timeouts_test.cpp
+++ b/tests/node_unit/poll_timeouts_test.cpp
@@ -23,7 +23,7 @@
   Seconds shortest = 1000;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     balancer::TestReplica replica(settings, seed);
-    replica.handle(0, balancer::Started{});
+    replica.handle(0, balancer::ReplicaStarted{});
     for (Seconds now = 0; now < 20;) {
       const auto timers =
           balancer::actions_of_type<balancer::SetTimer>(replica.handle(now, balancer::make_watch_failure()));
