--- a/node/process/main.cpp
+++ b/node/process/main.cpp
@@ -1,4 +1,4 @@
-// load-balancer-node: one node of the load balancer. README.md describes its configuration.
+// The program load-balancer-node: one node of the load balancer. README.md describes its configuration file.
 #include <boost/asio/error.hpp>
 #include <boost/system/system_error.hpp>
 #include <chrono>
