--- a/include/asterdrift/balancer/actions.h
+++ b/include/asterdrift/balancer/actions.h
@@ -12,21 +12,21 @@
 
 // Starts an attempt. A request's attempts are numbered 0, 1, 2 ... in the order of its SendAttempt actions.
 struct SendAttempt {
-  std::string id;        // of the request
+  std::string id;        // identifies the request
   std::string endpoint;  // address of the endpoint
   Seconds timeout = 0;
-  // The attempt must not be written to the connection later than this long after the action: servers may
-  // have dropped the idempotency key by then.
+  // The longest time between this action and the write to the connection. After this time the attempt must
+  // not be written any more, since servers may have dropped the idempotency key.
   Seconds write_within = std::numeric_limits<Seconds>::infinity();
 };
 
-// Final response: the request is rejected, and the client can safely retry.
+// Gives a request its final response: the request is rejected, and the client can safely retry.
 struct RejectRequest {
   std::string id;
   Seconds retry_after = 0;  // 0: the response has no Retry-After
 };
 
-// Final response: the request has failed, and may have been executed.
+// Gives a request its final response: the request has failed, and may have been executed.
 struct FailRequest {
   std::string id;
 };
@@ -37,7 +37,7 @@
   int attempt = 0;
 };
 
-// Requests a TimerFired event with this token at the given time.
+// Requests a TimerFired event with this token at the time `at`.
 struct SetTimer {
   Seconds at = 0;
   std::uint64_t token = 0;
--- a/include/asterdrift/balancer/balancer.h
+++ b/include/asterdrift/balancer/balancer.h
@@ -41,7 +41,7 @@
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Handles an event, and appends the actions to take to `actions`, in order.
+  // Handles an event, and appends the actions that the host has to execute to `actions`, in order.
   void handle(Seconds now, const Event& event, std::vector<Action>& actions);
 
   // Metrics; reading them has no side effects. A tenant index out of range stands for traffic without a
@@ -58,8 +58,9 @@
 // in requests per second). Source: Trypema's suppressed strategy.
 double suppression_factor(double rate_limit, double window_rate, double last_second_rate);
 
-// The subset of replica `replica_index` of `replica_count` replicas: `size` positions in an order of
-// `endpoints` endpoints that is the same for all replicas.
+// The subset of replica `replica_index` of `replica_count` replicas. The result contains positions in a list
+// of `endpoints` endpoints, whose order is the same at all replicas: `size` positions, or all if there are
+// fewer.
 std::vector<std::size_t> subset_positions(std::size_t replica_index, std::size_t replica_count,
                                           std::size_t endpoints, std::size_t size);
 
--- a/include/asterdrift/balancer/events.h
+++ b/include/asterdrift/balancer/events.h
@@ -1,4 +1,4 @@
-// The events that a Balancer handles. Hosts report them in the order in which they happen.
+// The events that a Balancer handles. The host reports events in the order in which they happen.
 #pragma once
 
 #include <cstddef>
@@ -46,8 +46,8 @@
   Seconds elapsed = 0;  // since the attempt was sent
 };
 
-// The last byte of a request whose body was arriving has been sent on an attempt. Only now can the server
-// begin, so the time of the request starts here.
+// The last byte of a request whose body was arriving has been sent on an attempt. The server cannot begin
+// earlier, so the request's deadline moves by the time from the start of the attempt to this event.
 struct RequestBodySent {
   std::string id;
   int attempt = 0;
@@ -85,7 +85,7 @@
   EndpointState state = EndpointState::kReady;
 };
 
-// The endpoint list has changed, or watching it has failed.
+// The endpoint list has changed, or watching or polling the list has failed.
 struct EndpointUpdate {
   enum class Form {
     kIncremental,  // only the endpoints that have changed
--- a/include/asterdrift/balancer/settings.h
+++ b/include/asterdrift/balancer/settings.h
@@ -10,9 +10,9 @@
 
 // Whether a request may be executed more than once.
 enum class Idempotency {
-  kIdempotent,      // always
-  kIdempotencyKey,  // within the scope and the window in which servers deduplicate by key
-  kNotIdempotent    // never
+  kIdempotent,      // may be executed any number of times
+  kIdempotencyKey,  // may be repeated within the scope and window in which servers deduplicate by key
+  kNotIdempotent    // must not be executed more than once
 };
 
 // For requests with an idempotency key: the servers that share one deduplication cache.
@@ -26,7 +26,8 @@
   double late_priority_weight = 0;        // fraction of the weight that a response after the objective earns
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DedupScope dedup_scope = DedupScope::kAll;
-  // Servers drop duplicates for this long after the first attempt that may have been executed was sent.
+  // Servers drop duplicates for this long, counted from when the first attempt was sent that may have been
+  // executed.
   Seconds dedup_window = 0;
 };
 
@@ -38,7 +39,7 @@
 // The settings of one replica.
 struct Settings {
   int replica_index = 0;          // this replica's number, 0 .. replica_count - 1
-  int replica_count = 1;          // replicas of the load balancer that send to this tier
+  int replica_count = 1;          // number of replicas of the load balancer that send to this tier
   int tier = 0;                   // the tier of servers this replica sends to; clients reach tier 0 first
   int zone = 0;                   // the zone this replica runs in
   Seconds clock_granularity = 0;  // events come at least this far apart
@@ -63,7 +64,7 @@
   double overload_multiple = 3;
   Seconds overload_window = 2;
 
-  double cross_zone_cost = 0;  // cost of a request to another zone; 0: zones are not preferred
+  double cross_zone_cost = 0;  // cost of a request to another zone; 0: no zone is preferred
 };
 
 }  // namespace asterdrift::balancer
--- a/include/asterdrift/seconds.h
+++ b/include/asterdrift/seconds.h
@@ -1,3 +1,4 @@
+// The type of durations and times in seconds.
 #pragma once
 
 namespace asterdrift {
