--- a/src/balancer/endpoint_set.cpp
+++ b/src/balancer/endpoint_set.cpp
@@ -106,15 +106,15 @@
 void EndpointSet::set_indexed(std::uint32_t slot, bool indexed) {
   if (++index_changes_ > kMaxExaminedEndpoints + ready_.size() / kRebuildDivisor) return clear_indexes();
   EndpointRecord& record = records_[slot];
-  const auto change = [&](OrderedIndex& index, std::uint32_t key) {
+  const auto update_index = [&](OrderedIndex& index, std::uint32_t key) {
     indexed ? records_.insert_into(index, key, slot) : records_.erase_from(index, key, slot);
   };
   record.indexed = indexed;
   ready_weight_ += indexed ? record.advertised.weight : -record.advertised.weight;
-  change(ready_, records_.key_of(record.hash));
-  if (record.advertised.zone != zone_) change(other_zones_, records_.key_of(record.hash));
-  change(by_zone_, key_of(record.advertised.zone));
-  change(by_cell_, key_of(record.advertised.cell));
+  update_index(ready_, records_.to_key(record.hash));
+  if (record.advertised.zone != zone_) update_index(other_zones_, records_.to_key(record.hash));
+  update_index(by_zone_, to_key(record.advertised.zone));
+  update_index(by_cell_, to_key(record.advertised.cell));
 }
 
 void EndpointSet::clear_indexes() {
@@ -132,10 +132,10 @@
     if (record.advertised.state != EndpointState::kReady) return;
     record.indexed = true;
     ready_weight_ += record.advertised.weight;
-    ready_.append({records_.key_of(record.hash), slot});
-    if (record.advertised.zone != zone_) other_zones_.append({records_.key_of(record.hash), slot});
-    zones.push_back({key_of(record.advertised.zone), slot});
-    cells.push_back({key_of(record.advertised.cell), slot});
+    ready_.append({records_.to_key(record.hash), slot});
+    if (record.advertised.zone != zone_) other_zones_.append({records_.to_key(record.hash), slot});
+    zones.push_back({to_key(record.advertised.zone), slot});
+    cells.push_back({to_key(record.advertised.cell), slot});
   });
   by_zone_.assign(std::move(zones));
   by_cell_.assign(std::move(cells));
--- a/src/balancer/endpoint_set.h
+++ b/src/balancer/endpoint_set.h
@@ -16,7 +16,8 @@
 // The maximum number of endpoints that one step of a selection examines.
 constexpr std::size_t kMaxExaminedEndpoints = 64;
 
-// Each endpoint has a slot as long as it is listed or has requests in flight. Slots are reused.
+// Applies endpoint updates, and finds endpoints by slot, zone or cell. Each endpoint has a slot as long as
+// the endpoint is listed or has requests in flight. Slots are reused.
 class EndpointSet {
  public:
   // `zone` is the zone of this replica.
@@ -27,13 +28,13 @@
   EndpointRecord& operator[](std::size_t slot) { return records_[slot]; }
   const EndpointRecord& operator[](std::size_t slot) const { return records_[slot]; }
 
-  // The endpoints that are ready, ordered by hash. All ranges have this order.
+  // The endpoints that are ready, ordered by hash. All ranges consist of ready endpoints in this order.
   const support::OrderedIndex& ready() const { return ready_; }
   support::CircularRange all() const { return ready_.range(); }
   // The ready endpoints of all zones except the zone of this replica.
   support::CircularRange other_zones() const { return other_zones_.range(); }
-  support::CircularRange in_zone(int zone) const { return by_zone_.range_of(key_of(zone)); }
-  support::CircularRange in_cell(int cell) const { return by_cell_.range_of(key_of(cell)); }
+  support::CircularRange in_zone(int zone) const { return by_zone_.equal_range(to_key(zone)); }
+  support::CircularRange in_cell(int cell) const { return by_cell_.equal_range(to_key(cell)); }
   // The sum of the weights of the endpoints that are ready.
   double ready_weight() const { return ready_weight_; }
 
@@ -64,7 +65,7 @@
   }
 
  private:
-  static std::uint32_t key_of(int number) { return static_cast<std::uint32_t>(number); }
+  static std::uint32_t to_key(int number) { return static_cast<std::uint32_t>(number); }
 
   void remove_if_unlisted(std::uint32_t slot);
   bool finish_removal(std::uint32_t slot);
@@ -79,7 +80,7 @@
   std::vector<std::uint32_t> removed_;  // slots of removed endpoints that are not released yet
   std::vector<std::uint32_t> tracked_;  // slots of the endpoints that may be outliers
   std::size_t next_tracked_ = 0;        // position in tracked_ that is checked next
-  std::size_t index_changes_ = 0;       // by the update that is being applied
+  std::size_t index_changes_ = 0;       // changes of the indexes by the update that is being applied
   bool must_rebuild_ = false;  // the update changes so many endpoints that the indexes are rebuilt at its end
   support::OrderedIndex ready_;
   support::OrderedIndex other_zones_;
--- a/src/support/decaying_statistics.cpp
+++ b/src/support/decaying_statistics.cpp
@@ -1,3 +1,4 @@
+// Updates of the statistics with exponential decay.
 #include "support/decaying_statistics.h"
 
 #include <algorithm>
--- a/src/support/decaying_statistics.h
+++ b/src/support/decaying_statistics.h
@@ -32,7 +32,7 @@
   double deviation = 0;
   double samples = 0;
 
-  // `min_gain` is the weight of a new sample once there are many.
+  // `min_gain` is the weight of a new sample once there are many samples.
   void add(double value, double min_gain);
 };
 
@@ -65,7 +65,7 @@
   bool is_learned_ = false;
 };
 
-// A level that changes in steps, and its decaying mean over time.
+// A level that changes in steps, and the mean of the level over time, with exponential decay.
 class DecayingLevel {
  public:
   explicit DecayingLevel(Seconds time_constant) : time_constant_(time_constant) {}
--- a/src/support/named_slots.h
+++ b/src/support/named_slots.h
@@ -1,4 +1,4 @@
-// A container of named elements in numbered slots.
+// A container of elements that are found by their name or by the number of their slot.
 #pragma once
 
 #include <array>
@@ -13,9 +13,11 @@
 
 namespace asterdrift::support {
 
-// Slots are reused after their removal. Elements never move in memory: references to them remain valid, and
-// growing the container does not copy elements. An Element has a member `std::uint64_t hash`, which
-// NamedSlots sets to the hash of the name, and a function `const std::string& name() const`.
+// Assigns a numbered slot to each name. Slots are reused after their removal. Elements never move in memory:
+// references to them remain valid, and growing the container does not copy elements.
+//
+// An Element has a member `std::uint64_t hash`, which NamedSlots sets to the hash of the name, and a function
+// `const std::string& name() const`.
 template <class Element>
 class NamedSlots {
  public:
@@ -40,23 +42,24 @@
     bool is_new;
   };
 
-  // Finds the slot of a name, or acquires a slot for it. The caller has to set the name of a new element.
+  // Finds the slot of a name, or acquires a slot for a name that has none. The caller has to set the name of
+  // a new element.
   FoundSlot find_or_add(const std::string& name) {
     const std::uint64_t hash = hash_text(name);
-    const std::size_t found = position(in_use_, key_of(hash), hash, name);
+    const std::size_t found = position(in_use_, to_key(hash), hash, name);
     if (found != in_use_.size()) {
       const std::uint32_t slot = in_use_[found].slot;
       if ((*this)[slot].name() == name) return {slot, false};
     }
     const std::uint32_t slot = acquire();
-    in_use_.insert(found, {key_of(hash), slot});
+    in_use_.insert(found, {to_key(hash), slot});
     element(slot).hash = hash;
     return {slot, true};
   }
 
   // Releases a slot. Its element stays unchanged until the slot is used again.
   void remove(std::uint32_t slot) {
-    erase_from(in_use_, key_of(element(slot).hash), slot);
+    erase_from(in_use_, to_key(element(slot).hash), slot);
     released_.push_back(slot);
   }
 
@@ -70,8 +73,8 @@
     index.erase(position(index, key, element(slot).hash, element(slot).name()));
   }
 
-  // The key by which in_use() is sorted.
-  static std::uint32_t key_of(std::uint64_t hash) { return static_cast<std::uint32_t>(hash >> 32); }
+  // The key of a name with this hash, by which in_use() is sorted.
+  static std::uint32_t to_key(std::uint64_t hash) { return static_cast<std::uint32_t>(hash >> 32); }
 
  private:
   static constexpr std::size_t kChunkSize = 16;
@@ -80,8 +83,8 @@
   Element& element(std::size_t slot) { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
   const Element& element(std::size_t slot) const { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
 
-  // The position of a name among the entries of an index with its key, or the position for inserting the
-  // name.
+  // The position of a name among the entries of an index that have the given key, or the position at which
+  // the name has to be inserted.
   std::size_t position(const OrderedIndex& index, std::uint32_t key, std::uint64_t hash,
                        const std::string& name) const {
     return index.partition_point([&](OrderedIndex::Entry entry) {
--- a/src/support/ordered_index.cpp
+++ b/src/support/ordered_index.cpp
@@ -5,20 +5,20 @@
 namespace {
 
 constexpr std::size_t kBlockCapacityEntries = 64;
-constexpr std::size_t kAppendedBlockEntries = 48;  // size of a block that is built by appending
+constexpr std::size_t kAppendedBlockEntries = 48;  // number of entries in a block built by append()
 
-std::ptrdiff_t offset(std::size_t position) { return static_cast<std::ptrdiff_t>(position); }
+std::ptrdiff_t to_offset(std::size_t position) { return static_cast<std::ptrdiff_t>(position); }
 
 }  // namespace
 
 OrderedIndex::Entry OrderedIndex::operator[](std::size_t position) const {
-  const std::size_t block = block_of(position);
+  const std::size_t block = find_block(position);
   return blocks_[block][position - starts_[block]];
 }
 
 CircularRange OrderedIndex::range() const { return {this, 0, size_, 0, size_}; }
 
-CircularRange OrderedIndex::range_of(std::uint32_t key) const {
+CircularRange OrderedIndex::equal_range(std::uint32_t key) const {
   const std::size_t begin = partition_point([=](Entry entry) { return entry.key < key; });
   const std::size_t end = partition_point([=](Entry entry) { return entry.key <= key; });
   return {this, begin, end - begin, 0, end - begin};
@@ -26,19 +26,19 @@
 
 void OrderedIndex::insert(std::size_t position, Entry entry) {
   if (blocks_.empty()) insert_block(0);
-  std::size_t block = block_of(position);
+  std::size_t block = find_block(position);
   if (blocks_[block].size() == kBlockCapacityEntries) {
     split(block);
     if (position > starts_[block + 1]) ++block;
   }
-  blocks_[block].insert(blocks_[block].begin() + offset(position - starts_[block]), entry);
+  blocks_[block].insert(blocks_[block].begin() + to_offset(position - starts_[block]), entry);
   ++size_;
   while (++block < starts_.size()) ++starts_[block];
 }
 
 void OrderedIndex::erase(std::size_t position) {
-  std::size_t block = block_of(position);
-  blocks_[block].erase(blocks_[block].begin() + offset(position - starts_[block]));
+  std::size_t block = find_block(position);
+  blocks_[block].erase(blocks_[block].begin() + to_offset(position - starts_[block]));
   --size_;
   for (std::size_t i = block + 1; i < starts_.size(); ++i) --starts_[i];
   if (blocks_[block].empty()) return erase_block(block);
@@ -68,19 +68,19 @@
   ++size_;
 }
 
-std::size_t OrderedIndex::block_of(std::size_t position) const {
+std::size_t OrderedIndex::find_block(std::size_t position) const {
   const auto next = std::upper_bound(starts_.begin(), starts_.end(), position);
   return static_cast<std::size_t>(next - starts_.begin()) - 1;
 }
 
 void OrderedIndex::insert_block(std::size_t block) {
-  blocks_.emplace(blocks_.begin() + offset(block))->reserve(kBlockCapacityEntries);
-  starts_.insert(starts_.begin() + offset(block), static_cast<std::uint32_t>(size_));
+  blocks_.emplace(blocks_.begin() + to_offset(block))->reserve(kBlockCapacityEntries);
+  starts_.insert(starts_.begin() + to_offset(block), static_cast<std::uint32_t>(size_));
 }
 
 void OrderedIndex::erase_block(std::size_t block) {
-  blocks_.erase(blocks_.begin() + offset(block));
-  starts_.erase(starts_.begin() + offset(block));
+  blocks_.erase(blocks_.begin() + to_offset(block));
+  starts_.erase(starts_.begin() + to_offset(block));
 }
 
 void OrderedIndex::split(std::size_t block) {
--- a/src/support/ordered_index.h
+++ b/src/support/ordered_index.h
@@ -38,7 +38,7 @@
   // All entries.
   CircularRange range() const;
   // The entries with the given key.
-  CircularRange range_of(std::uint32_t key) const;
+  CircularRange equal_range(std::uint32_t key) const;
 
   // Inserts an entry before the one at `position`.
   void insert(std::size_t position, Entry entry);
@@ -53,7 +53,7 @@
   template <class Visitor>
   void for_each_slot(std::size_t position, std::size_t count, const Visitor& visit) const {
     if (count == 0) return;
-    std::size_t block = block_of(position);
+    std::size_t block = find_block(position);
     for (std::size_t i = position - starts_[block]; count > 0; ++block, i = 0) {
       for (; i < blocks_[block].size() && count > 0; ++i, --count) visit(blocks_[block][i].slot);
     }
@@ -62,7 +62,7 @@
  private:
   using Block = std::vector<Entry>;  // never empty
 
-  std::size_t block_of(std::size_t position) const;
+  std::size_t find_block(std::size_t position) const;
   void insert_block(std::size_t block);
   void erase_block(std::size_t block);
   void split(std::size_t block);
--- a/src/support/random.h
+++ b/src/support/random.h
@@ -13,7 +13,7 @@
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
-  // A uniform random number of all 64-bit values.
+  // A uniform random number among all 64-bit values.
   std::uint64_t next();
   // A uniform random number in [0, 1).
   double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
--- a/src/support/sliding_window.h
+++ b/src/support/sliding_window.h
@@ -19,7 +19,7 @@
     double short_total = 0;  // events in the short window
   };
 
-  // `buckets` and `short_window_buckets` are the numbers of buckets of the two windows.
+  // `buckets` and `short_window_buckets` are the numbers of buckets of the window and of the short window.
   SlidingWindow(Seconds bucket_width, int buckets, int short_window_buckets)
       : bucket_width_(bucket_width),
         short_window_buckets_(short_window_buckets),
--- a/src/support/weighted_sample.h
+++ b/src/support/weighted_sample.h
@@ -9,7 +9,7 @@
 
 namespace asterdrift::support {
 
-// A set of weighted candidates to draw from.
+// A set of candidates with weights, from which candidates are drawn at random.
 template <class Item>
 class WeightedSample {
  public:
