--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -7,7 +7,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr Seconds kBucketWidth = 0.1;
+constexpr Seconds kBucketWidth = 0.1;   // of the sliding window
 constexpr int kLastSecondBuckets = 10;  // the short window is the last second
 // An empty window admits as many requests at once as the limit allows in its length. A window of more than
 // kMaxWindowBuckets would detect a burst only after the end of the burst.
@@ -21,9 +21,10 @@
 
 // The initial limit, as a multiple of this replica's share of the quota.
 constexpr double kInitialLimitFactor = 1.2;
-// With little traffic, requests arrive in random bursts.
+// The initial limit is a higher multiple if few requests arrive, since they arrive in random bursts.
 constexpr double kInitialLowTrafficLimitFactor = 4;
-constexpr Seconds kReviewPeriod = 1;  // the delay after which outcomes show a change of the limit
+constexpr Seconds kReviewPeriod = 1;  // the delay until outcomes show the effect of a new limit
+// A review has to be based on this many ended requests, unless the traffic is low.
 constexpr double kMinReviewRequests = 5;
 // The limit decreases if more than this fraction of the ended requests was overloaded.
 constexpr double kOverloadedFraction = 0.1;
@@ -33,10 +34,12 @@
 // One review may increase the limit by this fraction, for traffic of full priority weight.
 constexpr double kIncreaseFraction = 0.1;
 
-constexpr double kMinLimitPerSecond = 2;  // lower bound of the limit in requests, over all replicas
+// The limit is at least this many requests per second: over all replicas for a tenant with a quota, and at
+// each replica without a quota.
+constexpr double kMinLimitPerSecond = 2;
 // The lower bound of the limit is a multiple of this replica's share of the quota, since replicas do not get
 // equal shares of the traffic; without a quota, it is a multiple of the rate of responses in time. The factor
-// is higher past tier 0, where a rejection wastes the work of the tiers above.
+// is higher at tiers after tier 0, at which a rejection wastes the work of the tiers above.
 constexpr double kMinLimitFactor = 1.2;
 constexpr double kInnerTierMinLimitFactor = 6;
 constexpr Seconds kInTimeRateTimeConstant = 5;
@@ -81,7 +84,8 @@
   return suppression_factor(limit_, counts.total / window_length_, counts.short_total);
 }
 
-// The cached suppression factor is used only between the soft limit and the hard limit.
+// Between the soft limit, which is the learned rate limit, and the hard limit, the suppression factor is
+// cached for kSuppressionCacheTime.
 bool TenantAdmission::admit(Seconds now, support::Random& random) {
   double factor = suppression(window_.counts(now));
   if (factor > 0 && factor < 1) {
@@ -125,7 +129,8 @@
 // Without a quota, only the rate of responses in time shows what the tier can serve. A lower bound that does
 // not follow this rate would let each review of a few requests decrease the limit further.
 double TenantAdmission::min_limit(Seconds now) const {
-  // The fraction of its final value that a constant rate shows after this time.
+  // The fraction of its final value that in_time_rate_ has reached now, assuming a constant rate of responses
+  // since the first outcome.
   const double observed_fraction = 1 - std::exp((first_outcome_at_ - now) / kInTimeRateTimeConstant);
   return std::max(fixed_min_limit_, in_time_limit_factor_ * in_time_rate_.at(now) /
                                         std::max(observed_fraction, kMinObservedFraction));
--- a/src/balancer/admission_control.h
+++ b/src/balancer/admission_control.h
@@ -43,8 +43,8 @@
   double increase_fraction_ = 0;  // fraction by which one review may increase the limit
   double cached_suppression_ = 0;
   Seconds suppression_cached_until_ = -kInfinity;
-  double ended_requests_ = 0;       // since the last review
-  double overloaded_requests_ = 0;  // of the ended requests
+  double ended_requests_ = 0;       // number of requests that have ended since the last review
+  double overloaded_requests_ = 0;  // number of ended requests that were overloaded
   Seconds next_review_at_ = -kInfinity;
   support::DecayingRate in_time_rate_;
   Seconds first_outcome_at_ = kInfinity;
--- a/src/balancer/concurrency_limit.cpp
+++ b/src/balancer/concurrency_limit.cpp
@@ -13,13 +13,18 @@
 constexpr double kTierQueueFactor = 1.8;
 
 // All capacities are numbers of requests in flight.
-constexpr double kMinCapacity = 2;    // at one endpoint, over all replicas
-constexpr double kStartCapacity = 6;  // in addition, before a new endpoint can have responded; decays
+//
+// All replicas together may have this many requests in flight at an endpoint, whatever its response rate is.
+constexpr double kMinCapacity = 2;
+// A new endpoint cannot have responded yet, so it gets this capacity in addition. The addition decays.
+constexpr double kStartCapacity = 6;
 // Below this, a replica's share of an endpoint's capacity counts as low.
 constexpr double kLowShare = 1.75;
-// At the tier while the traffic is low, in addition to the measured capacity.
-constexpr double kLowTrafficStartCapacity = 1.5;  // when the first endpoint list arrives; decays
-constexpr double kLowTrafficSlack = 0.4;          // always; compared with the mean number in flight
+// While the traffic is low, the mean number of requests in flight at the tier may exceed the measured
+// capacity by kLowTrafficSlack, and in addition by kLowTrafficStartCapacity when the first endpoint list
+// arrives. The latter decays.
+constexpr double kLowTrafficStartCapacity = 1.5;
+constexpr double kLowTrafficSlack = 0.4;
 
 }  // namespace
 
@@ -57,7 +62,8 @@
 }
 
 // The number of requests that all replicas together may have in flight at an endpoint, regardless of its
-// response rate. `since`: when the endpoint was first seen.
+// response rate. `since`: when the endpoint was first seen or, for the endpoints of the tier on average, when
+// the first endpoint list arrived.
 double ConcurrencyLimit::unmeasured_capacity(Seconds since) const {
   return kMinCapacity + kStartCapacity * std::exp((since - state_.now) / kResponseRateTimeConstant);
 }
--- a/src/balancer/concurrency_limit.h
+++ b/src/balancer/concurrency_limit.h
@@ -6,7 +6,8 @@
 namespace asterdrift::balancer {
 
 // Limits the requests in flight, so that one more request still gets its response within its latency
-// objective. Only tier 0 is limited: at a further tier a rejection would waste the work of the tiers above.
+// objective. Only requests to tier 0 are limited: at a later tier a rejection would waste the work of the
+// tiers before it.
 class ConcurrencyLimit {
  public:
   // `state` has to outlive this object.
@@ -19,12 +20,11 @@
   // Whether the endpoint has capacity for one more request. If the traffic is low, the result is random.
   bool endpoint_has_capacity(const EndpointRecord& record) { return !is_limited() || is_below_limit(record); }
 
-  // Whether the tier has capacity for one more request. Its capacity is measured over all endpoints, which
-  // the selection of endpoints does not bias.
+  // Whether the tier has capacity for one more request. The capacity of the tier is measured over all
+  // endpoints, so that the selection of endpoints does not bias the measurement.
   bool tier_has_capacity() const;
 
  private:
-  // Only requests to tier 0 are limited.
   bool is_limited() const { return state_.settings.tier == 0; }
   bool is_below_limit(const EndpointRecord& record);
   double unmeasured_capacity(Seconds since) const;
--- a/src/balancer/endpoint_record.h
+++ b/src/balancer/endpoint_record.h
@@ -12,9 +12,11 @@
 namespace asterdrift::balancer {
 
 constexpr Seconds kResponseRateTimeConstant = 2;
-// An ejected endpoint is tried again after a few times this.
+// Time constant of the decay of an endpoint's latency. An ejected endpoint is tried again after a few time
+// constants.
 constexpr Seconds kLatencyTimeConstant = 8;
-// With more samples, a replica with much traffic would detect an outlier later.
+// The upper bound of the samples that count for an endpoint's latency. With more samples, a replica with much
+// traffic would detect an outlier later.
 constexpr double kMaxLatencySamples = 4;
 // Below this decayed sum of latencies, as fractions of the objective, an endpoint without requests in flight
 // is no longer tracked.
@@ -33,8 +35,8 @@
   const std::string& name() const { return advertised.address; }
 
   Endpoint advertised = {};  // as in the last update
-  std::uint64_t hash = 0;    // of the address; gives every replica the same order of endpoints
-  int in_flight = 0;         // requests in flight at the endpoint
+  std::uint64_t hash = 0;    // hash of the address; gives all replicas the same order of endpoints
+  int in_flight = 0;         // requests of this replica in flight at the endpoint
   bool indexed = false;      // the endpoint is ready, and is contained in the indexes
   bool tracked = false;      // the endpoint may be an outlier
   bool listed = false;       // the last snapshot or a later update contains the endpoint
@@ -43,7 +45,7 @@
   support::DecayingMean latency{kLatencyTimeConstant, kMaxLatencySamples};  // as fractions of the objective
   Seconds sent_at_sum = 0;     // sum of the send times of the requests in flight
   Seconds first_seen_at = 0;   // when this replica first saw the endpoint's current process
-  double rounding_offset = 0;  // for rounding this replica's share of the capacity, in requests
+  double rounding_offset = 0;  // random, for rounding this replica's share of the capacity, in requests
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/endpoint_selection.cpp
+++ b/src/balancer/endpoint_selection.cpp
@@ -7,15 +7,18 @@
 namespace asterdrift::balancer {
 namespace {
 
-// More samples than for one endpoint (kMaxLatencySamples), since the latency of a zone is steadier.
+// The upper bound of the samples that count for a zone's latency. It is higher than the bound for one
+// endpoint (kMaxLatencySamples), since the latency of a zone is steadier.
 constexpr double kMaxZoneSamples = 30;
-constexpr double kRemoteWeightFactor = 0.25;  // divided by the cost of other zones
-constexpr double kZoneLatencyExponent = 4;    // how strongly the zones' latencies change the remote weight
-// Remote endpoints are used only if the zones' ratio of latencies to the power of kZoneLatencyExponent
-// exceeds this; smaller differences may be random.
+// The weight of remote endpoints is proportional to this factor divided by the cost of other zones.
+constexpr double kRemoteWeightFactor = 0.25;
+constexpr double kZoneLatencyExponent = 4;  // how strongly the zones' latencies change the remote weight
+// Remote endpoints are used only if the ratio of the local latency to the remote latency, raised to the power
+// of kZoneLatencyExponent, exceeds this. Smaller differences may be random.
 constexpr double kMinZoneAdvantage = 2.5;
-constexpr double kLatencyExponent = 2;            // how strongly latency lowers an endpoint's weight
-constexpr double kMinTierLatencyFraction = 0.01;  // of the objective
+constexpr double kLatencyExponent = 2;  // how strongly latency lowers an endpoint's weight
+// The tier's latency counts as at least this fraction of the objective.
+constexpr double kMinTierLatencyFraction = 0.01;
 // Each step examines up to kMaxExaminedEndpoints endpoints outside the subset.
 constexpr std::size_t kMaxFallbackSteps = 4;
 
@@ -29,8 +32,9 @@
       local_latency_(kLatencyTimeConstant, kMaxZoneSamples),
       remote_latency_(local_latency_) {}
 
-// Weights count in the draw and in the comparison: a replica without requests in flight would otherwise
-// always select the endpoint with the larger weight of any two.
+// Weights count in the draw and in the comparison. The comparison does not count the new request: otherwise a
+// replica without requests in flight would always select the endpoint with the larger weight of any two. Now
+// such a replica selects the first endpoint, and the draw distributes its requests by weight.
 std::optional<std::size_t> EndpointSelection::select(const PendingRequest& request) {
   if (!concurrency_.tier_has_capacity() || !find_candidates(request)) return std::nullopt;
   const auto& [first, first_weight] = candidates_.draw(state_.random);
@@ -80,8 +84,8 @@
   return would_deduplicate(request, record) && slow_start_.allows(record);
 }
 
-// Whether the endpoint would deduplicate the next attempt of the request against the previous ones, or need
-// not.
+// Whether the endpoint would deduplicate the request's next attempt against the previous attempts, or no
+// deduplication is needed.
 bool EndpointSelection::would_deduplicate(const PendingRequest& request, const EndpointRecord& record) const {
   const RequestClass& rules = *request.rules;
   if (rules.idempotency == Idempotency::kIdempotent) return true;
--- a/src/balancer/outcome_recorder.cpp
+++ b/src/balancer/outcome_recorder.cpp
@@ -6,9 +6,9 @@
 namespace asterdrift::balancer {
 namespace {
 
-// Latency from which a response indicates overload, as a fraction of the objective: queues are detected
-// before responses miss the objective.
-constexpr double kOverloadedLatency = 0.6;
+// A response with a latency above this fraction of the objective indicates overload, so that queues are
+// detected before responses miss the objective.
+constexpr double kOverloadedLatencyFraction = 0.6;
 // A failed attempt counts with at least this multiple of the tier's latency.
 constexpr double kFailureLatencyFactor = 8;
 
@@ -63,7 +63,7 @@
                                        bool was_healthy) {
   if (!depends_on_capacity(outcome)) return;
   const bool success = outcome == Outcome::kSuccess;
-  const bool overloaded = !success || latency > kOverloadedLatency;
+  const bool overloaded = !success || latency > kOverloadedLatencyFraction;
   if (overloaded && !was_healthy) return;
   admission_[tenant].record_outcome(state_.now, overloaded, success && latency <= 1);
 }
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -8,8 +8,9 @@
 
 // A few responses that are quick by chance must not attract all traffic to an endpoint.
 constexpr double kMinRelativeLatency = 0.5;
-constexpr double kMinTierLatencyFraction = 0.01;  // of the objective
-constexpr Seconds kMinObjective = 0.001;
+// The tier's latency counts as at least this fraction of the objective.
+constexpr double kMinTierLatencyFraction = 0.01;
+constexpr Seconds kMinObjective = 0.001;  // lower bound of the mean objective when it is a divisor
 static_assert(kMinTrackedLatency < kPriorSamples * (kOutlierRelativeLatency - 1) * kMinTierLatencyFraction,
               "endpoints that are not tracked must not be outliers");
 
@@ -17,7 +18,7 @@
 
 double OutlierDetection::relative_latency(const EndpointRecord& record, Seconds now) const {
   const double tier_latency = std::max(traffic_.latency.mean, kMinTierLatencyFraction);
-  // The waiting times of all requests in flight, added up.
+  // The sum of the times that all requests in flight have waited.
   const Seconds waited = record.in_flight * now - record.sent_at_sum;
   const double in_flight = waited / std::max(traffic_.objective.mean, kMinObjective);
   const support::DecayingMean::WeightedSum ended = record.latency.at(now);
--- a/src/balancer/pending_request.h
+++ b/src/balancer/pending_request.h
@@ -12,11 +12,12 @@
 
 namespace asterdrift::balancer {
 
+// The state of one request, with all attempts so far in the order in which they started.
 struct PendingRequest {
   const RequestClass* rules = nullptr;  // the settings of the request's class
   std::size_t tenant = 0;
   std::size_t request_class = 0;
-  Seconds deadline = 0;  // from then on a response is of no use any more
+  Seconds deadline = 0;  // when a response stops being of use
   std::vector<Attempt> attempts;
   bool finished = false;       // the request has its final response, or needs none
   bool streaming = false;      // a response has begun, and is being forwarded to the client
--- a/src/balancer/replica_state.h
+++ b/src/balancer/replica_state.h
@@ -11,7 +11,7 @@
 
 namespace asterdrift::balancer {
 
-// The settings, the time, the random numbers and the measurements of a replica.
+// The settings, the time, the random numbers, the endpoints and the measurements of a replica.
 struct ReplicaState {
   // Throws std::invalid_argument, naming the field, when the settings cannot be used.
   ReplicaState(const Settings& configured, std::uint64_t seed)
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -34,7 +34,7 @@
 
 void require_not_negative(std::initializer_list<Field> fields) {
   for (const Field& field : fields) {
-    require(field.value >= 0, field, "a number from 0");
+    require(field.value >= 0, field, "0 or more");
   }
 }
 
@@ -58,7 +58,7 @@
   require_positive({"replica_count", static_cast<double>(settings.replica_count)});
   require(settings.replica_index >= 0 && settings.replica_index < settings.replica_count,
           {"replica_index", static_cast<double>(settings.replica_index)},
-          "a number from 0 to replica_count - 1, that is, to " + std::to_string(settings.replica_count - 1));
+          "a number from 0 to replica_count - 1, which is " + std::to_string(settings.replica_count - 1));
   require_positive({"max_attempts", static_cast<double>(settings.max_attempts)});
   require(settings.slow_start_capacity >= 0 && settings.slow_start_capacity <= 1,
           {"slow_start_capacity", settings.slow_start_capacity}, "a number from 0 to 1");
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -18,7 +18,7 @@
 }  // namespace
 
 // A replica sends the endpoint the endpoint's share of the admitted requests, scaled to the capacity that the
-// endpoint has already. Requests beyond the quotas do not increase this share.
+// endpoint already has. At tier 0, requests beyond the quotas do not increase this share.
 bool SlowStart::allows(EndpointRecord& record) {
   const double warm = warm_fraction(record);
   if (warm >= 1) return true;
@@ -38,7 +38,7 @@
   record.slow_start.by_responses.spend();
 }
 
-// The fraction of its full capacity that an endpoint certainly has now.
+// The fraction of its full capacity that the settings assure for an endpoint of this age.
 double SlowStart::warm_fraction(const EndpointRecord& record) const {
   const Settings& settings = state_.settings;
   if (record.advertised.started_at == 0 || settings.slow_start_duration <= 0) return 1;
@@ -48,8 +48,8 @@
 }
 
 // The fraction of a warm endpoint's requests that an endpoint that is warming up may get. The fraction
-// increases if the endpoint responds as quickly as others: under load an endpoint warms up sooner than is
-// assured.
+// increases if the endpoint responds as quickly as others, since under load an endpoint warms up sooner than
+// is assured.
 double SlowStart::budget_fraction(const EndpointRecord& record, double warm_fraction) const {
   const TrafficStatistics& traffic = state_.traffic;
   const double samples = record.latency.at(state_.now).weight;
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -9,7 +9,7 @@
 
 namespace asterdrift::balancer {
 
-// A compromise between even load and few connections.
+// The minimum number of endpoints in a subset: a compromise between even load and few connections.
 constexpr std::size_t kMinSubsetSize = 8;
 // At least this many replicas use each endpoint, so a small number of replicas has large subsets.
 constexpr std::size_t kMinSharingReplicas = 2;
--- a/src/balancer/traffic_statistics.cpp
+++ b/src/balancer/traffic_statistics.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr Seconds kAdmissionTimeConstant = 5;
-// Traffic is low below this average number of requests in flight.
+// The traffic is low if fewer requests than this are in flight on average.
 constexpr double kLowInFlight = 3;
 // The baseline follows a decrease of the latency quickly and an increase slowly, since queueing also
 // increases the latency.
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -12,9 +12,11 @@
 namespace asterdrift::balancer {
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
-constexpr double kLatencyGain = 0.05;            // weight of one sample in the latency estimates
-constexpr Seconds kTierTimeConstant = 2.5;       // of the tier's requests in flight and response rate
-constexpr double kMaxIdleLatencyFraction = 0.3;  // of the latency objective
+constexpr double kLatencyGain = 0.05;  // weight of one sample in the latency estimates
+// Time constant of the tier's mean number of requests in flight and of the tier's response rate.
+constexpr Seconds kTierTimeConstant = 2.5;
+// Upper bound of the tier's latency without queueing, as a fraction of the latency objective.
+constexpr double kMaxIdleLatencyFraction = 0.3;
 
 // A replica's measurements of the requests that it admits and of the responses to them.
 struct TrafficStatistics {
@@ -32,12 +34,12 @@
   double quota_rate = 0;  // this replica's share of the quotas of all tenants, in requests per second
   support::SampledEstimate objective;  // latency objective of the incoming requests, in seconds
   support::SampledEstimate latency;    // latency of the tier, as a fraction of the objective
-  support::AsymmetricBaseline
-      idle_latency_fraction;             // latency of the tier without queueing, as such a fraction
+  // Latency of the tier without queueing, as a fraction of the objective.
+  support::AsymmetricBaseline idle_latency_fraction;
   support::DecayingRate admission_rate;  // of admitted requests
-  support::DecayingRate response_rate;
-  std::uint64_t response_count = 0;
-  support::DecayingLevel in_flight;
+  support::DecayingRate response_rate;   // of successful responses
+  std::uint64_t response_count = 0;      // successful responses since the start
+  support::DecayingLevel in_flight;      // requests of this replica in flight at the tier
 };
 
 }  // namespace asterdrift::balancer
