--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -58,8 +58,8 @@
 
   ReplicaHost host_;
   std::string line_;
-  std::uint64_t line_number_ = 0;  // of the current batch; blank lines do not count
-  std::string turn_;               // of the current batch; "unknown" until it is parsed
+  std::uint64_t line_number_ = 0;  // line of the current batch; blank lines do not count
+  std::string turn_;               // turn of the current batch; "unknown" until the turn is parsed
 };
 
 }  // namespace
--- a/adapter/replica_host.cpp
+++ b/adapter/replica_host.cpp
@@ -14,18 +14,18 @@
 const rapidjson::StringBuffer& ReplicaHost::handle_batch(const Json& batch) {
   const Seconds now = json::number(batch, "clock");
   reply_.begin(json::unsigned_integer(batch, "turn"));
-  for (const Json& node : json::array(batch, "nodes").GetArray()) handle_replica(now, node);
+  for (const Json& entry : json::array(batch, "nodes").GetArray()) handle_replica(now, entry);
   return reply_.finish();
 }
 
-// After an item that fails, the replica still handles the remaining items. The reply contains only the first
-// error.
-void ReplicaHost::handle_replica(Seconds now, const Json& node) {
-  const int number = json::integer(node, "who");
+// If an item fails, the replica still handles the remaining items, and the reply contains only the first
+// error of the replica.
+void ReplicaHost::handle_replica(Seconds now, const Json& entry) {
+  const int number = json::integer(entry, "who");
   Replica& replica = replicas_[number];
   actions_.clear();
   std::optional<std::string> error_message;
-  for (const Json& item : json::array(node, "news").GetArray()) {
+  for (const Json& item : json::array(entry, "news").GetArray()) {
     try {
       handle_item(now, item, replica);
     } catch (const json::FormatError&) {
--- a/adapter/replica_host.h
+++ b/adapter/replica_host.h
@@ -25,7 +25,7 @@
  private:
   using Replica = std::unique_ptr<balancer::Balancer>;  // null while the simulated process is stopped
 
-  void handle_replica(Seconds now, const json::Json& node);
+  void handle_replica(Seconds now, const json::Json& entry);
   void handle_item(Seconds now, const json::Json& item, Replica& replica);
   void start_replica(Seconds now, const json::Json& item, Replica& replica);
   void stop_replica(Replica& replica);
--- a/json/fields.cpp
+++ b/json/fields.cpp
@@ -8,9 +8,9 @@
 namespace asterdrift::json {
 namespace {
 
-constexpr std::size_t kMaxQuotedBytes = 64;  // longer strings are not quoted in messages
+constexpr std::size_t kMaxQuotedBytes = 64;  // messages quote strings only up to this length
 
-// A short text for messages. Strings are escaped as in JSON, so that the text is one line.
+// A short description of a value, for messages. Strings are escaped as in JSON, so that the text is one line.
 std::string describe(const Json& value) {
   if (value.IsObject()) return "an object";
   if (value.IsArray()) return "an array";
--- a/json/fields.h
+++ b/json/fields.h
@@ -39,7 +39,7 @@
 // The field of an object, which must not be absent or null.
 const Json& require(const Json& object, const char* field);
 
-// The number in a field.
+// The number in a field; `fallback` if the field is absent or null, in the functions that end in `_or`.
 double number(const Json& object, const char* field);
 double number_or(const Json& object, const char* field, double fallback);
 // The integer in a field, which has to be in the range of int.
@@ -47,7 +47,8 @@
 int integer_or(const Json& object, const char* field, int fallback);
 // The integer in a field, which has to be in the range of std::uint64_t.
 std::uint64_t unsigned_integer(const Json& object, const char* field);
-// The integer in a field, which has to be from 0 and in the range of int; 0 if the field is absent or null.
+// The integer in a field, which has to be in the range of int and not negative; 0 if the field is absent or
+// null.
 std::size_t index_or_zero(const Json& object, const char* field);
 // The boolean in a field; false if the field is absent or null.
 bool flag(const Json& object, const char* field);
--- a/json/settings_parser.h
+++ b/json/settings_parser.h
@@ -7,9 +7,9 @@
 
 namespace asterdrift::json {
 
-// Throws FormatError if a field is missing or has another type than required, and std::invalid_argument if
-// the name of an idempotency or of a deduplication scope is unknown. Does not check the range of numbers,
-// which the balancer checks.
+// Parses an object with all settings. Throws FormatError if a field is missing or has another type than
+// required, and std::invalid_argument if the name of an idempotency or of a deduplication scope is unknown.
+// Does not check the range of numbers, which the balancer checks.
 balancer::Settings parse_settings(const Json& object);
 
 }  // namespace asterdrift::json
