--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -1,5 +1,5 @@
 // Runs the simulator adapter as a program: an exchange of batches and replies, invalid lines, and a
-// comparison of one process that hosts three instances with three processes.
+// comparison of one process that hosts three replicas with three processes.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -58,18 +58,18 @@
          R"("rules":{"askWithin":10.0,"startCapacity":0.2,"rampTime":9.0}})";
 }
 
-// A line with the events of some instances. `nodes` contains one JSON object for each instance.
+// A line with the events of some replicas. `nodes` contains one JSON object for each replica.
 std::string make_batch(int turn, double clock, const std::string& nodes) {
   return R"({"clock":)" + std::to_string(clock) + R"(,"turn":)" + std::to_string(turn) + R"(,"nodes":[)" +
          nodes + "]}";
 }
 
-// The events of one instance: events that open the instance and notify it of two servers, then further
-// events.
-std::string make_opening_events(int instance, const std::string& further_events = "",
+// The events of one replica: first the replica starts and is notified of two servers, then further events
+// follow.
+std::string make_startup_events(int replica, const std::string& further_events = "",
                                 const std::string& config = make_configuration()) {
-  return R"({"who":)" + std::to_string(instance) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
-         std::to_string(instance + 5) + R"(,"config":)" + config + R"(},)" +
+  return R"({"who":)" + std::to_string(replica) + R"(,"news":[{"kind":"OPEN_INSTANCE","initSeed":)" +
+         std::to_string(replica + 5) + R"(,"config":)" + config + R"(},)" +
          R"({"kind":"TABLE","sheet":3,"nodesList":[{"server":"10.0.0.1:80","mode":"Ready"},)"
          R"({"server":"10.0.0.2:80","mode":"Ready","pack":1,"units":2}]},)"
          R"({"kind":"DIRECTORY_UPDATE","rev":1,"sheet":3,"form":"C"})" +
@@ -83,7 +83,7 @@
 TEST(SimulatorAdapter, RepliesToEachBatch) {
   const AdapterResult result = run_adapter({
       make_batch(1, 1, ""),
-      make_batch(2, 1.5, make_opening_events(4)),
+      make_batch(2, 1.5, make_startup_events(4)),
       make_batch(3, 2,
                  R"({"who":4,"news":[{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2,"later":[1]}]})"),
       make_batch(4, 2.1,
@@ -104,11 +104,11 @@
 
 TEST(SimulatorAdapter, RestartWithinBatchDiscardsEarlierEvents) {
   const std::string request_event = R"(,{"kind":"QUERY","txn":"a","profile":0,"timeLeft":2})";
-  std::string node = make_opening_events(1, request_event);
-  node.insert(node.find("{\"kind\":\"OPEN"),
-              R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
+  std::string events = make_startup_events(1, request_event);
+  events.insert(events.find("{\"kind\":\"OPEN"),
+                R"({"kind":"QUERY","txn":"old","timeLeft":2},{"kind":"POWER_OFF"},)");
   const AdapterResult result =
-      run_adapter({make_batch(1, 1, make_opening_events(1)), make_batch(2, 2, node)});
+      run_adapter({make_batch(1, 1, make_startup_events(1)), make_batch(2, 2, events)});
   EXPECT_EQ(result.exit_code, 0) << result.errors;
   ASSERT_EQ(result.lines.size(), 2U);
   EXPECT_FALSE(contains(result.lines[1], "\"old\"")) << "events before the stop have no effect";
@@ -117,7 +117,7 @@
 
 TEST(SimulatorAdapter, UpdateRefersToLatestListWithItsNumber) {
   const AdapterResult result = run_adapter(
-      {make_batch(1, 1, make_opening_events(1)),
+      {make_batch(1, 1, make_startup_events(1)),
        make_batch(
            2, 2,
            R"({"who":1,"news":[{"kind":"TABLE","sheet":3,"nodesList":[{"server":"b:1","mode":"Ready"}]},)"
@@ -136,9 +136,9 @@
   EXPECT_TRUE(contains(result.errors, reason)) << result.errors;
 }
 
-// Expects an error for an event of turn 7 that follows the events that open an instance.
+// Expects an error for an event of turn 7 that follows the events that start a replica.
 void expect_event_reported(const std::string& event, const std::string& reason) {
-  expect_reported(make_batch(7, 1, make_opening_events(1, "," + event)), "7", reason);
+  expect_reported(make_batch(7, 1, make_startup_events(1, "," + event)), "7", reason);
 }
 
 TEST(SimulatorAdapter, InvalidLineIsReported) {
@@ -158,10 +158,11 @@
 }
 
 // Expects an error after a part of a valid configuration was replaced.
-void expect_panic(const std::string& part, const std::string& replacement, const std::string& reason) {
+void expect_settings_error(const std::string& part, const std::string& replacement,
+                           const std::string& reason) {
   std::string config = make_configuration();
   config.replace(config.find(part), part.size(), replacement);
-  const AdapterResult result = run_adapter({make_batch(1, 1, make_opening_events(2, "", config))});
+  const AdapterResult result = run_adapter({make_batch(1, 1, make_startup_events(2, "", config))});
   EXPECT_EQ(result.exit_code, 0);
   ASSERT_EQ(result.lines.size(), 1U);
   EXPECT_TRUE(contains(result.lines[0], R"("kind":"PANIC")")) << result.lines[0];
@@ -169,21 +170,21 @@
 }
 
 TEST(SimulatorAdapter, InvalidSettingsAreReportedInReply) {
-  expect_panic(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
-  expect_panic(R"("position":0)", R"("position":1)", "replica_index");
-  expect_panic(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
-  expect_panic(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
+  expect_settings_error(R"("peersTotal":1)", R"("peersTotal":0)", "replica_count");
+  expect_settings_error(R"("position":0)", R"("position":1)", "replica_index");
+  expect_settings_error(R"("aim":1.0)", R"("aim":-1.0)", "latency_objective");
+  expect_settings_error(R"("effect":"unsafe")", R"("effect":"odd")", "effect");
 }
 
 // Accepts outcomes and report values of later versions of the protocol, lists without entries, requests
 // without time left, and many restarts.
 TEST(SimulatorAdapter, AcceptsUnusualButValidLines) {
-  const std::string restart = make_opening_events(4).substr(make_opening_events(4).find("{\"kind\":\"OPEN"));
+  const std::string restart = make_startup_events(4).substr(make_startup_events(4).find("{\"kind\":\"OPEN"));
   std::string restarts;
   for (int i = 0; i < 20; ++i) restarts += restart.substr(0, restart.size() - 2) + ",";
   const AdapterResult result = run_adapter({
       make_batch(1, 1, R"({"who":4,"news":[)" + restarts + R"({"kind":"POWER_OFF"}]})"),
-      make_batch(2, 2, make_opening_events(4)),
+      make_batch(2, 2, make_startup_events(4)),
       make_batch(3, 3,
                  R"({"who":4,"news":[{"kind":"QUERY","txn":"a","timeLeft":2,"profile":99,"account":77},)"
                  R"({"kind":"QUERY","txn":"b","timeLeft":0},{"kind":"QUERY","txn":"c","timeLeft":-1}]})"),
@@ -208,22 +209,22 @@
   EXPECT_TRUE(contains(result.lines[4], R"({"kind":"SAY_NO","txn":"d")"));
 }
 
-// Batches for the given instances. Each instance receives a request in each turn, and the result of the
+// Batches for the given replicas. Each replica receives a request in each turn, and the result of the
 // request of two turns before.
-std::vector<std::string> make_batches(const std::vector<int>& instances) {
+std::vector<std::string> make_batches(const std::vector<int>& replicas) {
   std::vector<std::string> lines;
   std::string nodes;
-  for (const int instance : instances)
-    nodes.append(nodes.empty() ? "" : ",").append(make_opening_events(instance));
+  for (const int replica : replicas)
+    nodes.append(nodes.empty() ? "" : ",").append(make_startup_events(replica));
   lines.push_back(make_batch(1, 1, nodes));
   for (int turn = 2; turn < 60; ++turn) {
     nodes.clear();
-    for (const int instance : instances) {
-      const std::string prefix = std::to_string(instance).append("-");
+    for (const int replica : replicas) {
+      const std::string prefix = std::to_string(replica).append("-");
       const std::string request = prefix + std::to_string(turn);
       const std::string earlier_request = prefix + std::to_string(turn - 2);
       nodes.append(nodes.empty() ? "" : ",");
-      nodes.append(R"({"who":)").append(std::to_string(instance));
+      nodes.append(R"({"who":)").append(std::to_string(replica));
       nodes.append(R"(,"news":[{"kind":"QUERY","txn":")").append(request);
       nodes.append(R"(","timeLeft":2},{"kind":"DONE","txn":")").append(earlier_request);
       nodes.append(R"(","outcome":")").append(turn % 3 == 0 ? "shed" : "app_error");
@@ -240,11 +241,11 @@
   return line.substr(begin, line.rfind(']') - begin);
 }
 
-TEST(SimulatorAdapter, InstancesInOneProcessAreIndependent) {
+TEST(SimulatorAdapter, ReplicasInOneProcessAreIndependent) {
   const AdapterResult together = run_adapter(make_batches({0, 1, 2}));
   ASSERT_EQ(together.exit_code, 0) << together.errors;
   std::vector<AdapterResult> separate;
-  for (const int instance : {0, 1, 2}) separate.push_back(run_adapter(make_batches({instance})));
+  for (const int replica : {0, 1, 2}) separate.push_back(run_adapter(make_batches({replica})));
   for (std::size_t i = 0; i < together.lines.size(); ++i) {
     std::string joined;
     for (const AdapterResult& result : separate) {
