--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -228,7 +228,7 @@
   server_.check_not_in_flight(reader_.api_request()->client_request_id);
   if (server_.is_overloaded() || !server_.dispatcher.is_endpoint_list_current())
     throw RequestError(kServiceUnavailable);
-  // The request may have been unread in the socket until after its client disconnected.
+  // The client may have disconnected while its request was unread in the socket.
   if (has_client_disconnected()) {
     close();
     return false;
@@ -259,7 +259,7 @@
   return request;
 }
 
-// The client no longer awaits the response.
+// Tells the dispatcher that the client no longer awaits the response.
 void Connection::abandon_request() {
   if (request_id_) server_.dispatcher.on_client_disconnected(*request_id_);
 }
@@ -285,7 +285,7 @@
 }
 
 void Connection::respond(dispatch::DownstreamResponse&& response, bool close_connection) {
-  // The rest of an unfinished upload is not parsed, so that the start of the next request would not be known.
+  // The rest of an unfinished upload is not parsed, and so the start of a next request would be unknown.
   const bool is_uploading = is_in(State::kUploading);
   const bool client_reads_chunks = reader_.client_reads_chunks();
   closes_after_response_ =
@@ -309,7 +309,8 @@
   reader_.clear_request_class();
   has_responded_ = true;
   input_.release_reservation();
-  // After a response without "Connection: close" the client goes on using the connection.
+  // After a response without "Connection: close" the client goes on using the connection, which therefore
+  // stays open even if server_.closes_after_responses has been set since the response was begun.
   if (closes_after_response_ || input_.has_overflowed()) return begin_closing();
   if (input_.is_empty()) {
     input_.clear();
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -37,8 +37,9 @@
   // Closes the connection if its upload is paused and its client has disconnected. Nothing is read from the
   // socket during a pause, so that the disconnection would not be noticed otherwise.
   void close_if_client_disconnected();
-  // When the incomplete request has been arriving for `min_age` and is arriving too slowly, on the steady
-  // clock. The age of a connection's first request counts from the connection's start.
+  // The time on the steady clock from which the incomplete request counts as too slow if no more of it
+  // arrives. The request is never too slow before its age is `min_age`. The age of a connection's first
+  // request counts from the connection's start.
   Seconds receive_deadline(Seconds min_age) const;
   // Closes the connection if the receive deadline has passed. Returns whether it has been closed.
   bool close_if_slow(Seconds min_age);
@@ -47,8 +48,9 @@
   // Rejects the request if it is still being read.
   void reject_partial_request();
 
-  // On the steady clock.
+  // When the connection was accepted, on the steady clock.
   Seconds connected_at() const { return connected_at_; }
+  // When the current state was entered, on the steady clock.
   Seconds state_since() const { return state_.since(); }
 
  private:
@@ -100,9 +102,9 @@
   bool has_responded_ = false;
   std::size_t discarded_bytes_ = 0;  // bytes received after the last response
 
-  // State of the current request.
+  // The state of the current request.
   std::optional<dispatch::RequestId> request_id_;  // set when the dispatcher has accepted the request
-  // Whether the request is being passed to the dispatcher, just after the client was found to be connected.
+  // Whether the request is being passed to the dispatcher, just after a check that the client is connected.
   bool is_dispatching_ = false;
   bool is_head_request_ = false;
   unsigned response_status_ = 0;
--- a/node/downstream/connection_evictor.cpp
+++ b/node/downstream/connection_evictor.cpp
@@ -12,11 +12,12 @@
 
 using timing::now;
 
-// The age from which a new connection, or one whose request is arriving, counts as inactive.
+// The age from which a new connection, or one whose request is arriving, counts as inactive. An evicted
+// connection counts as recent if it entered its last state less than this time ago.
 constexpr Seconds kInactiveAge = 0.25;
-// The age up to which a new connection, or one whose request is arriving, is not evicted at all.
+// The age below which a new connection, or one whose request is arriving, is not evicted at all.
 constexpr Seconds kMinEvictionAge = 0.05;
-// How many connections of a list are examined for unread bytes in one eviction.
+// How many connections are examined for unread bytes in one pass over a list.
 constexpr int kMaxProbedConnections = 16;
 
 }  // namespace
@@ -53,8 +54,8 @@
   return next;
 }
 
-// Closes the connection of the list that has been idle longest. Connections with unread bytes, which belong
-// to a request that has already arrived, are skipped.
+// Closes the connection that has been in the list longest and is old enough. Skips connections with unread
+// bytes, because these belong to a request that has already arrived.
 template <class IsOldEnough>
 bool ConnectionEvictor::evict_idle(ConnectionList& list, EvictedState state,
                                    const IsOldEnough& is_old_enough) {
--- a/node/downstream/connection_evictor.h
+++ b/node/downstream/connection_evictor.h
@@ -7,7 +7,7 @@
 
 namespace asterdrift::node::downstream {
 
-// Closes inactive connections, which are those whose client awaits no response from this node. The order is:
+// Closes inactive connections, which are those whose client awaits no response from this node, in this order:
 // connections whose last response has been written, connections that have never sent a byte, idle
 // connections, and connections whose request is arriving slowly. A new connection, or one whose request is
 // arriving, is closed only if no connection has been inactive for longer, and never before its client has had
--- a/node/downstream/connection_state_tracker.h
+++ b/node/downstream/connection_state_tracker.h
@@ -26,7 +26,7 @@
   ServerState& server_;
   ConnectionState state_ = ConnectionState::kInitial;
   Seconds since_ = 0;
-  bool is_listed_ = false;  // whether the connection is at position_ of the list of state_
+  bool is_listed_ = false;  // whether the connection is at position_ in the list for state_
   ConnectionList::iterator position_;
 };
 
--- a/node/downstream/eviction_log.h
+++ b/node/downstream/eviction_log.h
@@ -22,7 +22,7 @@
 
   telemetry::Metrics& metrics_;
   boost::asio::steady_timer timer_;
-  // Evictions since the last log line. The timer runs if there have been any.
+  // Numbers of evictions since the last log line. The timer runs unless evictions_ is 0.
   std::size_t evictions_ = 0, recent_ = 0, without_waiting_client_ = 0;
 };
 
--- a/node/downstream/input_buffer.cpp
+++ b/node/downstream/input_buffer.cpp
@@ -11,8 +11,8 @@
 // Pipelined bytes up to this size are buffered without a memory reservation.
 constexpr std::size_t kUnreservedPipelinedBytes = 8UL * 1024;
 constexpr std::size_t kMaxPipelinedBytes = RequestParser::kMaxHeadBytes + memory::kMaxBufferedBodyBytes;
-// Bytes that arrive within this time are one segment, with the time of the first. This bounds the memory for
-// segments if a client sends single bytes.
+// Bytes that arrive within this time of each other are stored as one segment, with the arrival time of the
+// first byte. This bounds the memory for segments if a client sends single bytes.
 constexpr Seconds kArrivalTimeResolution = 0.001;
 
 }  // namespace
--- a/node/downstream/input_buffer.h
+++ b/node/downstream/input_buffer.h
@@ -32,8 +32,8 @@
   // When the last of the removed bytes arrived.
   Seconds parsed_bytes_arrived_at();
 
-  // Called when the response to the current request has been written. The pipelined bytes become those of the
-  // next request.
+  // To be called when the response to the current request has been written. The pipelined bytes become those
+  // of the next request.
   void release_reservation() { reservation_.release(); }
   // Discards all bytes and frees their memory.
   void clear();
--- a/node/downstream/receive_rate_monitor.cpp
+++ b/node/downstream/receive_rate_monitor.cpp
@@ -5,7 +5,7 @@
 namespace asterdrift::node::downstream {
 namespace {
 
-// The time after the head for which the minimum rate does not apply to the body.
+// A time after the head that is allowed for the body in addition to the time that the minimum rate gives.
 constexpr Seconds kBodyGracePeriod = 0.7;
 constexpr double kMinBodyBytesPerSecond = 40e3;
 
--- a/node/downstream/receive_rate_monitor.h
+++ b/node/downstream/receive_rate_monitor.h
@@ -7,12 +7,15 @@
 
 namespace asterdrift::node::downstream {
 
-// Clients may take 2 s for a head, and have to send a body at 64 kB/s. The limits that are enforced are more
-// lenient: those for bodies here, and the one for heads by the caller. All times are on the steady clock.
+// Clients may take 2 s for a head, and have to send a body at 64 kB/s. The node enforces more lenient limits:
+// those for bodies are defined by this class, and the one for heads by its caller. All times are on the
+// steady clock.
 class ReceiveRateMonitor {
  public:
+  // To be called when a request begins to arrive.
   void begin(Seconds now);
-  void on_head(Seconds now) { head_received_at_ = now; }
+  // To be called when the head has arrived completely.
+  void on_head_received(Seconds now) { head_received_at_ = now; }
   void add_body_bytes(std::size_t bytes) { body_bytes_ += bytes; }
   void set_body_bytes(std::size_t bytes) { body_bytes_ = bytes; }
 
--- a/node/downstream/request_accounting.cpp
+++ b/node/downstream/request_accounting.cpp
@@ -5,10 +5,10 @@
 namespace asterdrift::node::downstream {
 namespace {
 
-// Counted in place of a status if the client has had no complete response.
+// Counted in place of a status if the client has received no complete response.
 constexpr unsigned kNoResponse = 0;
 
-// Whether this node may respond with this status to a valid request without passing it to the dispatcher.
+// Whether a response with this status may reject a valid request that has not been passed to the dispatcher.
 bool is_rejection(unsigned status) {
   return status == kServiceUnavailable || status == kConflict || status == kPayloadTooLarge;
 }
--- a/node/downstream/request_accounting.h
+++ b/node/downstream/request_accounting.h
@@ -28,7 +28,7 @@
   void count(std::size_t request_class, unsigned status);
 
   ServerState& server_;
-  bool is_dispatched_ = false;  // a request has been dispatched and has no complete response
+  bool is_dispatched_ = false;  // whether a request has been dispatched and has no complete response
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/request_error.h
+++ b/node/downstream/request_error.h
@@ -8,8 +8,8 @@
 
 namespace asterdrift::node::downstream {
 
-// Thrown for an invalid request, or for a request that this node has no capacity for. The request is not
-// forwarded. The message, unless it is empty, becomes the body of the response.
+// Thrown for a request that is invalid, or that this node cannot serve now, for example for lack of memory.
+// The request is not forwarded. The message, unless it is empty, becomes the body of the response.
 class RequestError : public std::runtime_error {
  public:
   explicit RequestError(unsigned status, const std::string& message = {})
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -40,7 +40,7 @@
 
 void RequestReader::handle_head() {
   const RequestParser::Head& head = parser_->head();
-  receive_rate_.on_head(timing::now());
+  receive_rate_.on_head_received(timing::now());
   client_reads_chunks_ = parser_->client_reads_chunks();
   is_keep_alive_ = parser_->is_keep_alive();
   body_reservation_ = memory::MemoryReservation(server_.body_budget);
@@ -61,7 +61,8 @@
 // Handles bytes of the body that have been parsed. Returns whether an upload begins.
 bool RequestReader::handle_body() {
   std::string& body = parser_->body();
-  if (upload_ || !request_) {  // a body without request_ is discarded: the response will be 404
+  // Without request_, the request is not to /api, and its body is discarded: the response will be 404.
+  if (upload_ || !request_) {
     receive_rate_.add_body_bytes(body.size());
     if (upload_) upload_->write(body);
     body.clear();
--- a/node/downstream/request_reader.h
+++ b/node/downstream/request_reader.h
@@ -44,7 +44,7 @@
   // To be called before the first read().
   void set_callbacks(Callbacks callbacks) { callbacks_ = std::move(callbacks); }
 
-  // Called when a request begins to arrive.
+  // To be called when a request begins to arrive.
   void begin(Seconds now);
   // Reads from `input`, and removes the bytes that have been read. Throws RequestError.
   Result read(std::string& input);
@@ -64,7 +64,7 @@
   // To be called after the last byte of an upload.
   void finish_upload();
 
-  // Properties of the last request whose head has been complete.
+  // Properties of the last request whose head has arrived completely.
   bool is_keep_alive() const { return is_keep_alive_; }
   bool client_reads_chunks() const { return client_reads_chunks_; }
   // The index of the class of the last valid request to /api, until it is cleared.
@@ -88,7 +88,7 @@
   ServerState& server_;
   Callbacks callbacks_;
   std::optional<RequestParser> parser_;
-  std::optional<dispatch::DownstreamRequest> request_;  // to /api, until it is dispatched
+  std::optional<dispatch::DownstreamRequest> request_;  // a request to /api until it is dispatched
   memory::MemoryReservation body_reservation_;
   std::shared_ptr<memory::BodyStream> upload_;  // receives the rest of a large body
   ReceiveRateMonitor receive_rate_;
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -147,8 +147,8 @@
   return it->second;
 }
 
-// Rejects requests whose method or idempotency key does not match their class: a server could execute such a
-// request twice.
+// Rejects a request whose method or idempotency key does not match its class, because a server could execute
+// such a request twice.
 void RequestValidator::check_matches_class(const Head& head,
                                            const balancer::RequestClass& request_class) const {
   const bool is_idempotent = request_class.idempotency == balancer::Idempotency::kIdempotent;
--- a/node/downstream/request_validator.h
+++ b/node/downstream/request_validator.h
@@ -13,7 +13,7 @@
 
 namespace asterdrift::node::downstream {
 
-// Depends on the classes and tenants of the configuration.
+// Checks requests against the classes and tenants of the configuration.
 class RequestValidator {
  public:
   explicit RequestValidator(const config::NodeConfig& config);
--- a/node/downstream/response_sender.cpp
+++ b/node/downstream/response_sender.cpp
@@ -9,7 +9,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// The operating system's send buffer for a streamed response.
+// The size of the operating system's send buffer for a streamed response.
 constexpr int kStreamSendBufferBytes = 64 * 1024;
 
 }  // namespace
--- a/node/downstream/response_sender.h
+++ b/node/downstream/response_sender.h
@@ -15,14 +15,14 @@
  public:
   virtual ~ResponseSenderOwner() = default;
 
-  // Neither the owner nor its sender is destroyed while the result exists.
+  // Neither the owner nor its sender is destroyed while the returned pointer exists.
   virtual std::shared_ptr<void> keep_alive() = 0;
   // Runs a step of the sender, and handles its exceptions.
   virtual void guard(const std::function<void()>& step) = 0;
-  // All bytes so far have been written to the socket, and more are about to be written.
+  // Called when all bytes so far have been written to the socket, and more are about to be written.
   virtual void on_response_progress() = 0;
   virtual void on_response_written() = 0;
-  // The server has not sent the complete body.
+  // Called when the server has ended the body before it was complete.
   virtual void on_response_truncated() = 0;
   virtual void on_write_failed() = 0;
 };
@@ -49,8 +49,8 @@
   ResponseSenderOwner& owner_;
   boost::asio::ip::tcp::socket& socket_;
   ResponseWriter writer_;
-  bool is_sending_ = false;  // the response is not complete
-  bool is_writing_ = false;  // a piece of the response is being written
+  bool is_sending_ = false;  // whether a response has begun and is not complete
+  bool is_writing_ = false;  // whether a piece of the response is being written
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -22,12 +22,14 @@
   };
 
   struct Options {
-    bool close_connection = false;     // adds a "Connection: close" header
-    bool client_reads_chunks = false;  // if not, a body of unknown length ends when the connection is closed
-    bool head_only = false;            // for the response to a HEAD request
+    bool close_connection = false;  // adds a "Connection: close" header
+    bool client_reads_chunks =
+        false;               // if false, a body of unknown length ends when the connection is closed
+    bool head_only = false;  // for the response to a HEAD request
   };
 
   void begin(dispatch::DownstreamResponse&& response, const Options& options);
+  // Discards the response, which has been written completely, and frees its memory.
   void reset();
 
   // The current piece.
@@ -37,13 +39,13 @@
 
   // The source of a streamed body until the body is complete; null otherwise.
   const std::shared_ptr<memory::BodyStream>& stream() const { return stream_; }
-  // The client has disconnected, and the rest of a streamed body is not read.
+  // To be called when the client has disconnected. The rest of a streamed body is not read.
   void abandon();
 
  private:
   std::string piece_;                      // the head, or bytes of a streamed body
   dispatch::DownstreamResponse response_;  // its body is written after the head
-  bool is_first_piece_ = false;            // the head and, unless it is streamed, the body
+  bool is_first_piece_ = false;            // the first piece has the head and, unless streamed, the body
   bool is_chunked_ = false;
   std::shared_ptr<memory::BodyStream> stream_;
 };
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -27,17 +27,18 @@
 // The maximum time between a response and the next request.
 constexpr Seconds kIdleTimeout = 20;
 // The maximum time for a request's head. For the first request of a connection, the time counts from the
-// connection's start. Operators allow a client at most 3 s without a complete request.
+// connection's start. The operators' limit for a client without a complete request is 3 s.
 constexpr Seconds kReadTimeout = 2.4;
 // The maximum time for which a client may take no byte of its response.
 constexpr Seconds kWriteTimeout = 5;
 // The maximum time for a client to close its connection after the last response.
 constexpr Seconds kCloseTimeout = 1;
-// Bounds the time for which other sockets are not served.
+// The maximum number of connections that are accepted before other sockets are served.
 constexpr int kMaxAcceptsPerWait = 64;
 constexpr int kListenBacklog = 4096;
 constexpr auto kTimeoutCheckPeriod = std::chrono::milliseconds(100);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // prevents a busy loop
+// The delay before another attempt to accept connections after an error. Prevents a busy loop.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 // Calls `visit` for each connection of a list until `visit` returns false. `visit` may remove the connection.
 template <class Visit>
@@ -118,7 +119,8 @@
   });
 }
 
-// Returns whether more connections may be accepted now. If not, accepting goes on later.
+// Accepts one connection if possible. Returns whether more connections may be accepted now; if not, accepting
+// goes on later.
 bool Server::accept_one() {
   if (state_.connections >= state_.max_connections) {
     if (!net::has_waiting_connection(acceptor_.native_handle())) {
@@ -174,7 +176,7 @@
   }
 }
 
-// Called if a client is waiting and no connection can be evicted now.
+// Called when a client is waiting and no connection can be evicted now.
 void Server::wait_for_capacity() {
   const Seconds next = evictor_.next_eviction_at();
   if (std::isinf(next) && !is_waiting_for_capacity_) log_connection_limit();
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -1,4 +1,4 @@
-// Accepts clients' connections, and enforces limits on their number and on their times.
+// Accepts clients' connections, and enforces the connection limit and timeouts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,7 +27,7 @@
   bool is_listening() const { return state_.is_listening; }
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Inactive connections in excess of the limit are closed.
+  // Sets the connection limit, and closes inactive connections in excess of it.
   void set_max_connections(std::size_t connections);
 
   // The steps of a graceful shutdown. In the first step, /healthz responds 503, and connections stay usable.
@@ -39,13 +39,13 @@
   // connections that are being established. listening_index: the index of the other process's socket, see
   // net::steer_new_connections(). Returns whether the system supports this.
   bool hand_over_new_connections(std::uint32_t listening_index);
-  // The other process has ended, and this one accepts all connections.
+  // To be called when the other process has ended. This process accepts all new connections again.
   void end_hand_over();
-  // On the steady clock.
+  // When the last connection was accepted, on the steady clock.
   Seconds last_accepted_at() const { return last_accepted_at_; }
   // Accepts the connections in the listen backlog, and closes the listening socket.
   void stop_accepting();
-  // Closes idle connections, in addition to the effect of close_after_responses().
+  // Closes idle connections, and makes each response end its connection as close_after_responses() does.
   void close_idle_connections();
   // Rejects requests that have not arrived completely.
   void reject_partial_requests();
@@ -53,7 +53,7 @@
   std::size_t connections() const { return state_.connections; }
   // The number of connections whose response is awaited or being written.
   std::size_t busy_connections() const { return state_.busy_connections; }
-  // The number of requests without a complete response.
+  // The number of dispatched requests without a complete response.
   std::size_t pending_requests() const { return state_.pending_requests; }
   // Whether this process can serve requests, as /healthz and /ready report.
   bool is_ready() const { return state_.is_ready(); }
@@ -73,8 +73,8 @@
 
   ServerState state_;
   ConnectionEvictor evictor_;
-  bool is_accepting_ = false;  // a wait for the next connection is pending
-  // The connection limit is reached, a client is waiting, and no connection could be evicted.
+  bool is_accepting_ = false;  // whether a wait for the next connection is pending
+  // Whether the connection limit is reached, a client is waiting, and no connection could be evicted.
   bool is_waiting_for_capacity_ = false;
   Seconds last_accepted_at_ = 0;
   boost::asio::ip::tcp::acceptor acceptor_;
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -46,8 +46,8 @@
   ConnectionList awaiting_first_request, idle, reading, uploading, writing, closing;
 };
 
-// Lets connections use the server's dependencies and limits, and holds the server's lists and counts of
-// connections, which connections update themselves.
+// The server's dependencies, limits, connection lists and counts. Each connection uses them, and keeps the
+// lists and counts up to date.
 struct ServerState {
   // An eighth of the connections is reserved for clients that do not await a response.
   static constexpr std::size_t kReservedConnectionsDivisor = 8;
@@ -92,7 +92,7 @@
   std::size_t pending_requests = 0;  // dispatched requests without a complete response
   bool is_listening = false;
   bool is_draining = false;
-  bool closes_after_responses = false;             // each response ends its connection
+  bool closes_after_responses = false;             // whether each response ends its connection
   std::array<char, 16UL * 1024> read_buffer = {};  // shared, because the process has one thread
 };
 
--- a/node/memory/body_stream.cpp
+++ b/node/memory/body_stream.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kCapacityBytes = 64UL * 1024;
-// Used without a reservation if the budget is exhausted.
+// The capacity without a reservation, if the budget is exhausted.
 constexpr std::size_t kMinCapacityBytes = 16UL * 1024;
 
 }  // namespace
@@ -20,33 +20,33 @@
 void BodyStream::write(std::string_view bytes) {
   if (abandoned_ || bytes.empty()) return;
   bytes_.append(bytes);
-  notify(&BodyStream::readable_, &BodyStream::readable_pending_);
+  notify(&BodyStream::on_readable_, &BodyStream::is_readable_call_pending_);
 }
 
 void BodyStream::finish(bool complete) {
   if (is_finished()) return;
   state_ = complete ? BodyState::kComplete : BodyState::kTruncated;
-  writable_ = nullptr;
-  notify(&BodyStream::readable_, &BodyStream::readable_pending_);
+  on_writable_ = nullptr;
+  notify(&BodyStream::on_readable_, &BodyStream::is_readable_call_pending_);
 }
 
 std::string BodyStream::read() {
-  notify(&BodyStream::writable_, &BodyStream::writable_pending_);
+  notify(&BodyStream::on_writable_, &BodyStream::is_writable_call_pending_);
   return std::exchange(bytes_, {});
 }
 
 void BodyStream::abandon() {
   abandoned_ = true;
-  readable_ = nullptr;
+  on_readable_ = nullptr;
   std::string().swap(bytes_);
-  notify(&BodyStream::writable_, &BodyStream::writable_pending_);
+  notify(&BodyStream::on_writable_, &BodyStream::is_writable_call_pending_);
 }
 
 void BodyStream::notify(Callback BodyStream::*callback, bool BodyStream::*pending) {
   if (std::exchange(this->*pending, true)) return;
   boost::asio::post(io_, [self = shared_from_this(), callback, pending] {
     (*self).*pending = false;
-    if (const Callback notified = (*self).*callback) notified();
+    if (const Callback function = (*self).*callback) function();
   });
 }
 
--- a/node/memory/body_stream.h
+++ b/node/memory/body_stream.h
@@ -26,27 +26,32 @@
   // If the budget is exhausted, the buffer has a smaller capacity.
   BodyStream(boost::asio::io_context& io, MemoryBudget& budget);
 
-  // For the writer.
+  // To be called by the writer.
   bool is_full() const { return bytes_.size() >= capacity_; }
+  // Whether the reader has disconnected.
   bool is_abandoned() const { return abandoned_; }
   void write(std::string_view bytes);
-  // No more bytes follow. complete: false if the body has been truncated.
+  // Ends the stream. complete: false if the body has been truncated.
   void finish(bool complete);
-  void on_writable(Callback callback) { writable_ = std::move(callback); }
+  // Sets the callback for when the reader has removed bytes, or has disconnected.
+  void on_writable(Callback callback) { on_writable_ = std::move(callback); }
 
-  // For the reader.
+  // To be called by the reader.
   bool is_empty() const { return bytes_.empty(); }
   bool is_finished() const { return state_ != BodyState::kOpen; }
   bool is_complete() const { return state_ == BodyState::kComplete; }
   // Removes and returns all buffered bytes.
   std::string read();
-  // The reader has disconnected: buffered bytes are discarded, and so are those that are written later.
+  // To be called when the reader has disconnected. Discards the buffered bytes, and those that are written
+  // later.
   void abandon();
-  void on_readable(Callback callback) { readable_ = std::move(callback); }
+  // Sets the callback for when bytes have been written, or the stream has ended.
+  void on_readable(Callback callback) { on_readable_ = std::move(callback); }
 
  private:
   enum class BodyState { kOpen, kComplete, kTruncated };
 
+  // Posts a call of `callback` to the event loop, unless `pending` says that one has been posted already.
   void notify(Callback BodyStream::*callback, bool BodyStream::*pending);
 
   boost::asio::io_context& io_;
@@ -55,8 +60,8 @@
   std::string bytes_;
   BodyState state_ = BodyState::kOpen;
   bool abandoned_ = false;
-  Callback writable_, readable_;
-  bool writable_pending_ = false, readable_pending_ = false;
+  Callback on_writable_, on_readable_;
+  bool is_writable_call_pending_ = false, is_readable_call_pending_ = false;
 };
 
 }  // namespace asterdrift::node::memory
--- a/node/memory/memory_budget.h
+++ b/node/memory/memory_budget.h
@@ -28,6 +28,7 @@
 // Bytes reserved from a budget, which has to outlive the reservation. The destructor releases them.
 class MemoryReservation {
  public:
+  // A reservation without a budget: grow_to() always returns true.
   MemoryReservation() = default;
   explicit MemoryReservation(MemoryBudget& budget) : budget_(&budget) {}
   MemoryReservation(MemoryReservation&& other) noexcept
--- a/node/net/timestamped_read.cpp
+++ b/node/net/timestamped_read.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr double kNanosecondsPerSecond = 1e9;
-// Bytes that seem older than this show that the system's clock has been set.
+// If bytes seem older than this, the system's clock has been set meanwhile, and their age counts as 0.
 constexpr Seconds kMaxMessageAge = 10;
 
 Seconds to_seconds(const timespec& time) {
@@ -24,10 +24,11 @@
 
 // How long ago the bytes of a received message arrived; 0 if the system has attached no timestamp.
 Seconds message_age(msghdr& message) {
-  for (cmsghdr* part = CMSG_FIRSTHDR(&message); part != nullptr; part = CMSG_NXTHDR(&message, part)) {
-    if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_TIMESTAMPNS) continue;
+  for (cmsghdr* control = CMSG_FIRSTHDR(&message); control != nullptr;
+       control = CMSG_NXTHDR(&message, control)) {
+    if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_TIMESTAMPNS) continue;
     timespec arrival{}, now{};
-    std::memcpy(&arrival, CMSG_DATA(part), sizeof arrival);
+    std::memcpy(&arrival, CMSG_DATA(control), sizeof arrival);
     clock_gettime(CLOCK_REALTIME, &now);
     const Seconds age = to_seconds(now) - to_seconds(arrival);
     return age > 0 && age < kMaxMessageAge ? age : 0;
--- a/node/net/timestamped_read.h
+++ b/node/net/timestamped_read.h
@@ -18,7 +18,8 @@
 };
 
 // Makes the system attach an arrival timestamp to received bytes. Connections inherit this from the listening
-// socket that accepts them. If the system cannot do it, TimestampedRead has the time of the read.
+// socket that accepts them. If the system does not support timestamps, TimestampedRead has the time of the
+// read.
 void enable_arrival_timestamps(int socket);
 
 // Reads the bytes that have arrived, as boost::asio::ip::tcp::socket::read_some() does on a non-blocking
--- a/node/timing/clock.cpp
+++ b/node/timing/clock.cpp
@@ -18,8 +18,8 @@
 Seconds now() { return seconds_since_epoch<std::chrono::steady_clock>(); }
 
 Seconds to_steady_time(double unix_ms) {
-  static const Seconds kOffset = now() - seconds_since_epoch<std::chrono::system_clock>();
-  return unix_ms == 0 ? 0 : unix_ms / 1000 + kOffset;
+  static const Seconds kUnixToSteadyOffset = now() - seconds_since_epoch<std::chrono::system_clock>();
+  return unix_ms == 0 ? 0 : unix_ms / 1000 + kUnixToSteadyOffset;
 }
 
 std::chrono::nanoseconds to_duration(Seconds duration) {
--- a/node/timing/clock.h
+++ b/node/timing/clock.h
@@ -8,7 +8,7 @@
 
 namespace asterdrift::node::timing {
 
-// The current time on the steady clock, which is the clock of the balancer's times.
+// The current time on the steady clock. The balancer's times are on the same clock.
 Seconds now();
 
 // Converts a Unix time in milliseconds to the steady clock. 0 means long ago and stays 0. The offset between
@@ -16,8 +16,9 @@
 // unchanged start time would have a different result each time, and look like a restart of the server.
 Seconds to_steady_time(double unix_ms);
 
-// Conversions for timers. A negative duration becomes 0.
+// Converts a duration to the type that timers take. A negative duration becomes 0.
 std::chrono::nanoseconds to_duration(Seconds duration);
+// Converts a time on the steady clock to the type that timers take.
 boost::asio::steady_timer::time_point to_time_point(Seconds steady_time);
 
 }  // namespace asterdrift::node::timing
--- a/tests/node/client_departure_test.cpp
+++ b/tests/node/client_departure_test.cpp
@@ -20,7 +20,8 @@
       TestSocket client = fixture.start_with_waiting_request(slow_server);
       depart(client, departure);
       wait_until([&] { return !connection_attempt_to(slow_server.port()); });
-      EXPECT_EQ(fixture.metric("upstream_requests"), 0) << may_cancel << name_of(departure);
+      EXPECT_EQ(fixture.metric("upstream_requests"), 0)
+          << "may_cancel " << may_cancel << ", " << name_of(departure);
       EXPECT_EQ(fixture.metric("pending"), 0);
     }
   }
@@ -37,7 +38,8 @@
       client.send_available(std::string(pipelined_bytes, 'x'));
       depart(client, departure);
       wait_until([&] { return !connection_attempt_to(slow_server.port()); });
-      EXPECT_EQ(fixture.metric("upstream_requests"), 0) << pipelined_bytes << name_of(departure);
+      EXPECT_EQ(fixture.metric("upstream_requests"), 0)
+          << pipelined_bytes << " pipelined bytes, " << name_of(departure);
     }
   }
 }
@@ -84,7 +86,8 @@
       server.send(ok_response());
       EXPECT_TRUE(contains(staying.read_message(), " 200 "));
       wait_until([&] { return fixture.metric("pending") == 0; });
-      EXPECT_EQ(fixture.metric("upstream_requests"), 1) << is_accepted << pipelined_bytes;
+      EXPECT_EQ(fixture.metric("upstream_requests"), 1)
+          << "is_accepted " << is_accepted << ", " << pipelined_bytes << " pipelined bytes";
     }
   }
 }
@@ -111,7 +114,7 @@
     fixture.node->resume();
     std::string received;
     for (std::string bytes; !(bytes = server.read_bytes(100000)).empty();) received += bytes;
-    EXPECT_FALSE(received.ends_with("0\r\n\r\n")) << may_cancel;
+    EXPECT_FALSE(received.ends_with("0\r\n\r\n")) << "may_cancel " << may_cancel;
     wait_until([&] { return fixture.metric("pending") == 0; });
     EXPECT_EQ(fixture.metric("upstream_requests"), 0);
   }
@@ -123,8 +126,8 @@
     const SlowAcceptingServer slow_server;
     LongTimeoutFixture fixture;
     fixture.config.may_cancel = false;
-    // The body has more bytes than the node reads, and few enough that the end of the client's connection
-    // still arrives after them.
+    // The node reads only a part of these bytes of the body. They are few enough that the end of the client's
+    // connection still arrives after them.
     TestSocket client = fixture.start_with_waiting_request(
         slow_server, request_head("close") + "Content-Length: 1000000\r\n\r\n" + std::string(175000, 'u'));
     depart(client, departure);
--- a/tests/node/client_request_test.cpp
+++ b/tests/node/client_request_test.cpp
@@ -106,6 +106,7 @@
       {"413", request_head("close") + "Transfer-Encoding: chunked\r\n\r\n2800001\r\n"},
       {"431", request_head("close") + "Transfer-Encoding: chunked\r\n\r\n1;" + std::string(20000, 'x')},
   };
+  // A valid request follows each of these texts except the one with status 404, and must not be forwarded.
   for (const auto& [status, text] : cases) {
     TestSocket client = fixture.connect_client();
     client.send(text + (status == "404" ? "" : request("close", "", "hidden", "r9")));
--- a/tests/node/connection_limit_test.cpp
+++ b/tests/node/connection_limit_test.cpp
@@ -1,4 +1,4 @@
-// Limits on connections, file descriptors and memory, with clients that are many, idle or slow.
+// Limits on connections, file descriptors and memory, with many, idle or slow clients.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -11,7 +11,8 @@
 
 using namespace std::chrono_literals;
 
-std::vector<TestSocket> connect_idle_clients(const NodeFixture& fixture, std::size_t count) {
+// Returns clients that have connected and send nothing.
+std::vector<TestSocket> connect_silent_clients(const NodeFixture& fixture, std::size_t count) {
   std::vector<TestSocket> clients;
   clients.reserve(count);
   for (std::size_t i = 0; i < count; ++i) clients.push_back(fixture.connect_client());
@@ -39,7 +40,7 @@
 
 TEST(ConnectionLimit, SilentConnectionsDoNotBlockNewClients) {
   FewSocketsFixture fixture;
-  const std::vector<TestSocket> idle_clients = connect_idle_clients(fixture, 120);
+  const std::vector<TestSocket> silent_clients = connect_silent_clients(fixture, 120);
   TestSocket client = fixture.connect_client();
   fixture.expect_served(client);
 }
@@ -125,7 +126,7 @@
   keep_alive_clients.reserve(40);
   for (int i = 0; i < 40; ++i) keep_alive_clients.push_back(connect_keep_alive_client(fixture));
   TestSocket client = fixture.connect_client();
-  std::vector<TestSocket> new_clients = connect_idle_clients(fixture, 10);
+  std::vector<TestSocket> new_clients = connect_silent_clients(fixture, 10);
   new_clients.back().send("GET /healthz HTTP/1.1\r\n\r\n");
   EXPECT_TRUE(contains(new_clients.back().read_message(), " 200 ")) << "all new clients are connected";
   fixture.expect_served(client);
@@ -165,11 +166,11 @@
   fixture.accept_watch();
   fixture.announce_snapshot(7, fixture.server_entry(0));
   fixture.wait_until_ready();
-  std::vector<TestSocket> idle_clients = connect_idle_clients(fixture, 40);
-  idle_clients.back().send("GET /healthz HTTP/1.1\r\n\r\n");
-  EXPECT_TRUE(contains(idle_clients.back().read_message(), " 200 "))
-      << "older idle connections have been closed";
-  idle_clients.clear();
+  std::vector<TestSocket> silent_clients = connect_silent_clients(fixture, 40);
+  silent_clients.back().send("GET /healthz HTTP/1.1\r\n\r\n");
+  EXPECT_TRUE(contains(silent_clients.back().read_message(), " 200 "))
+      << "older silent connections have been closed";
+  silent_clients.clear();
   TestSocket client = fixture.connect_client();
   fixture.expect_served(client);
 }
@@ -178,7 +179,7 @@
 
 enum class ClientKind { kSilent, kKeepAlive };
 
-const char* name_of(ClientKind kind) { return kind == ClientKind::kSilent ? "silent" : "keep-alive"; }
+const char* to_string(ClientKind kind) { return kind == ClientKind::kSilent ? "silent" : "keep-alive"; }
 
 // A node with few file descriptors, all of which are used by clients, servers and admin connections.
 struct FewDescriptorsFixture : KeepAliveFixture {
@@ -195,7 +196,8 @@
     announce_snapshot(7, entries);
     wait_until_ready();
   }
-  // Makes the node open as many upstream connections as it may: the node rejects the next request.
+  // Makes the node open as many upstream connections as it may. The node rejects the request that would need
+  // one more.
   void open_all_upstream_connections() {
     std::vector<TestSocket> clients;
     for (int i = 0;; ++i) {
@@ -229,8 +231,8 @@
     server.send(ok_response("heard"));
     return client.read_message();
   }
-  // Sends an event on the watch repeatedly until a metric becomes 1. Accepts a new watch if the node reopens
-  // it, which it does when a watch has been silent for long, as happens while a test waits.
+  // Sends an event on the watch repeatedly until a metric becomes 1. Accepts a new watch if the node has
+  // reopened the watch, as it does after a long silence, which may occur while a test waits.
   void announce_until_metric_is_1(const ListeningSocket& current_discovery, const std::string& event,
                                   const std::string& metric_name) {
     wait_until([&] {
@@ -247,8 +249,10 @@
   std::vector<TestSocket> upstream_connections, idle_clients, idle_admin_clients;
 };
 
+// Expects that a node reaches discovery and a new server while clients use all connections that it allows.
+// discovery_moves: whether discovery gets another address; if not, it becomes reachable again at its old one.
 void expect_discovery_reachable(ClientKind kind, bool awaits_watch, bool discovery_moves) {
-  SCOPED_TRACE(::testing::Message() << name_of(kind) << " clients, awaits watch " << awaits_watch
+  SCOPED_TRACE(::testing::Message() << to_string(kind) << " clients, awaits watch " << awaits_watch
                                     << ", discovery moves " << discovery_moves);
   FewDescriptorsFixture fixture(awaits_watch);
   fixture.open_all_upstream_connections();
--- a/tests/node/request_time_test.cpp
+++ b/tests/node/request_time_test.cpp
@@ -10,9 +10,10 @@
 
 using namespace std::chrono_literals;
 
+// How long a request has already waited, unread or pipelined, when the node handles it.
 constexpr auto kDelay = 600ms;
 constexpr double kTimeoutS = 2;
-// The tolerance that the operators' rule for timeouts allows.
+// The operators' rule for timeouts allows a forwarded timeout to exceed the remaining time by this much.
 constexpr double kToleranceS = 0.15;
 
 std::string request_with_timeout(const std::string& id, int timeout_ms) {
