--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -61,7 +61,8 @@
 // Handles bytes of the body that have been parsed. Returns whether an upload begins.
 bool RequestReader::handle_body() {
   std::string& body = parser_->body();
-  // Without request_, the request is not to /api, and its body is discarded: the response will be 404.
+  // Without request_, the path is not /api, and the body is discarded: the response is 404, or that of
+  // /healthz.
   if (upload_ || !request_) {
     receive_rate_.add_body_bytes(body.size());
     if (upload_) upload_->write(body);
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -33,7 +33,7 @@
 // client's connection only.
 constexpr std::array kForwardedHeaders = {"Host", "Cookie", "Content-Type"};
 
-std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
+std::string_view to_string_view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
 std::optional<std::uint64_t> parse_integer(std::string_view text) {
   std::uint64_t value = 0;
@@ -44,11 +44,14 @@
 
 std::shared_ptr<upstream::UpstreamRequest> to_upstream_request(const Head& head) {
   auto request = std::make_shared<upstream::UpstreamRequest>();
-  std::string& out = request->head;
-  out.append(view(head.method_string())).append(" ").append(view(head.target())).append(" HTTP/1.1\r\n");
+  std::string& upstream_head = request->head;
+  upstream_head.append(to_string_view(head.method_string()))
+      .append(" ")
+      .append(to_string_view(head.target()))
+      .append(" HTTP/1.1\r\n");
   const auto forward = [&](const char* name) {
     for (auto [it, end] = head.equal_range(name); it != end; ++it) {
-      out.append(name).append(": ").append(view(it->value())).append("\r\n");
+      upstream_head.append(name).append(": ").append(to_string_view(it->value())).append("\r\n");
     }
   };
   for (const char* name : kForwardedHeaders) forward(name);
@@ -71,14 +74,14 @@
 
 Seconds parse_timeout(const Head& head, Seconds class_timeout) {
   if (head.count("Request-Timeout-Ms") == 0) return class_timeout;
-  const auto ms = parse_integer(view(head["Request-Timeout-Ms"]));
+  const auto ms = parse_integer(to_string_view(head["Request-Timeout-Ms"]));
   if (!ms || *ms == 0) throw RequestError(kBadRequest, "bad Request-Timeout-Ms");
   return std::min(static_cast<double>(*ms) / 1000, kMaxTimeout);
 }
 
 std::optional<Seconds> parse_announced_work(const Head& head) {
   if (head.count("Work-Hint") == 0) return std::nullopt;
-  const auto us = parse_integer(view(head["Work-Hint"]));
+  const auto us = parse_integer(to_string_view(head["Work-Hint"]));
   return us ? std::optional(static_cast<double>(*us) / 1e6) : std::nullopt;
 }
 
@@ -91,7 +94,7 @@
 }  // namespace
 
 std::string_view RequestValidator::parse_path(const Head& head) {
-  const std::string_view target = view(head.target());
+  const std::string_view target = to_string_view(head.target());
   return target.substr(0, target.find('?'));
 }
 
@@ -108,7 +111,7 @@
   const std::size_t encodings = head.count(beast_http::field::transfer_encoding);
   if (lengths + encodings > 1) throw RequestError(kBadRequest, "more than one length");
   if (lengths == 1) {
-    const std::string_view length = view(head[beast_http::field::content_length]);
+    const std::string_view length = to_string_view(head[beast_http::field::content_length]);
     if (length.empty() || length.size() > kMaxContentLengthDigits || !parse_integer(length)) {
       throw RequestError(kBadRequest, "bad Content-Length");
     }
@@ -120,29 +123,29 @@
 
 dispatch::DownstreamRequest RequestValidator::parse_api_request(const Head& head) const {
   check_interpreted_headers(head);
-  dispatch::DownstreamRequest out;
-  out.client_request_id = std::string(view(head["Request-Id"]));
-  if (out.client_request_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
-  out.balancer_request.request_class = parse_class(head);
-  out.balancer_request.tenant = parse_tenant(head);
-  const balancer::RequestClass& request_class = classes_[out.balancer_request.request_class];
+  dispatch::DownstreamRequest request;
+  request.client_request_id = std::string(to_string_view(head["Request-Id"]));
+  if (request.client_request_id.empty()) throw RequestError(kBadRequest, "no Request-Id");
+  request.balancer_request.request_class = parse_class(head);
+  request.balancer_request.tenant = parse_tenant(head);
+  const balancer::RequestClass& request_class = classes_[request.balancer_request.request_class];
   check_matches_class(head, request_class);
-  out.timeout = parse_timeout(head, request_class.timeout);
-  out.balancer_request.announced_work = parse_announced_work(head);
-  out.balancer_request.is_client_retry = head["Client-Retry"] == "1";
-  out.upstream_request = to_upstream_request(head);
-  return out;
+  request.timeout = parse_timeout(head, request_class.timeout);
+  request.balancer_request.announced_work = parse_announced_work(head);
+  request.balancer_request.is_client_retry = head["Client-Retry"] == "1";
+  request.upstream_request = to_upstream_request(head);
+  return request;
 }
 
 std::size_t RequestValidator::parse_class(const Head& head) const {
-  const auto it = class_indexes_.find(std::string(view(head["Request-Class"])));
+  const auto it = class_indexes_.find(std::string(to_string_view(head["Request-Class"])));
   if (it == class_indexes_.end()) throw RequestError(kBadRequest, "unknown Request-Class");
   return it->second;
 }
 
 std::size_t RequestValidator::parse_tenant(const Head& head) const {
   if (tenant_indexes_.empty()) return 0;
-  const auto it = tenant_indexes_.find(std::string(view(head["Tenant"])));
+  const auto it = tenant_indexes_.find(std::string(to_string_view(head["Tenant"])));
   if (it == tenant_indexes_.end()) throw RequestError(kBadRequest, "unknown Tenant");
   return it->second;
 }
@@ -159,7 +162,7 @@
   if (needs_key == head["Idempotency-Key"].empty()) {
     throw RequestError(kBadRequest, "Idempotency-Key does not belong to the class");
   }
-  const std::string_view length = view(head[beast_http::field::content_length]);
+  const std::string_view length = to_string_view(head[beast_http::field::content_length]);
   const bool has_body =
       head.count(beast_http::field::transfer_encoding) > 0 || (!length.empty() && length != "0");
   if (is_idempotent && has_body) throw RequestError(kBadRequest, "a body where none belongs");
--- a/node/downstream/server.h
+++ b/node/downstream/server.h
@@ -13,7 +13,7 @@
 
 namespace asterdrift::node::downstream {
 
-// Owns the listening socket and the lists of connections.
+// Owns the listening socket, and the lists of connections by state.
 class Server {
  public:
   // Binds the address. A shared address can also be bound by other processes of this node. Throws
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -31,7 +31,7 @@
   kUploading,             // the request has been dispatched, and its body is still arriving
   kAwaitingResponse,      // the request has been dispatched and has arrived completely
   kWriting,               // the response is being written
-  kClosing,               // the last response has been written, and the client has not closed yet
+  kClosing,               // waits for the client to close the connection after the last response
   kClosed
 };
 
