--- a/node/upstream/request_sender.h
+++ b/node/upstream/request_sender.h
@@ -8,7 +8,7 @@
 
 #include "node/upstream/attempt.h"
 #include "node/upstream/attempt_timer.h"
-#include "node/upstream/request_writer.h"
+#include "node/upstream/request_serializer.h"
 
 namespace asterdrift::node::upstream {
 
@@ -41,7 +41,7 @@
   boost::asio::ip::tcp::socket& socket_;
   AttemptTimer& timer_;
   std::shared_ptr<UpstreamRequest> request_;
-  RequestWriter writer_;
+  RequestSerializer serializer_;
 };
 
 }  // namespace asterdrift::node::upstream
--- a/node/upstream/request_writer.cpp
+++ b/node/upstream/request_serializer.cpp
@@ -1,4 +1,5 @@
-#include "node/upstream/request_writer.h"
+// Serializes a request, with its body in chunks if the length of the body is not known.
+#include "node/upstream/request_serializer.h"
 
 #include <utility>
 
@@ -6,7 +7,7 @@
 
 namespace asterdrift::node::upstream {
 
-void RequestWriter::begin(std::shared_ptr<UpstreamRequest> request, std::int64_t timeout_ms) {
+void RequestSerializer::begin(std::shared_ptr<UpstreamRequest> request, std::int64_t timeout_ms) {
   request_ = std::move(request);
   written_ = 0;
   is_last_piece_ = false;
@@ -19,20 +20,20 @@
   }
 }
 
-void RequestWriter::reset() {
+void RequestSerializer::reset() {
   request_.reset();
   borrowed_ = {};
   std::string().swap(owned_);
 }
 
-std::array<boost::asio::const_buffer, 2> RequestWriter::buffers() const {
+std::array<boost::asio::const_buffer, 2> RequestSerializer::buffers() const {
   const std::size_t owned = owned_.size();
   const std::size_t written_of_borrowed = written_ > owned ? written_ - owned : 0;
   return {written_ < owned ? boost::asio::buffer(owned_) + written_ : boost::asio::const_buffer(),
           boost::asio::buffer(borrowed_.data(), borrowed_.size()) + written_of_borrowed};
 }
 
-RequestWriter::Next RequestWriter::next() {
+RequestSerializer::Next RequestSerializer::next() {
   memory::BodyStream* const stream = request_->body_stream.get();
   if (stream == nullptr || is_last_piece_) {
     std::string().swap(owned_);
--- a/node/upstream/request_writer.h
+++ b/node/upstream/request_serializer.h
@@ -1,4 +1,4 @@
-// Produces the bytes of a request to a server, piece by piece. Does no I/O.
+// Serializes a request to a server, piece by piece. Does no I/O.
 #pragma once
 
 #include <array>
@@ -12,8 +12,9 @@
 
 namespace asterdrift::node::upstream {
 
-// Produces the head with the buffered body, and then the pieces of the body that the client is still sending.
-class RequestWriter {
+// Serializes the head with the buffered body, and then the pieces of the body that the client is still
+// sending.
+class RequestSerializer {
  public:
   enum class Next {
     kPiece,      // the next piece is available
@@ -38,7 +39,7 @@
  private:
   std::shared_ptr<UpstreamRequest> request_;
   // The current piece consists of owned_ and then borrowed_.
-  std::string owned_;          // bytes that the writer owns
+  std::string owned_;          // bytes that the serializer owns
   std::string_view borrowed_;  // the buffered body of request_, or empty
   std::size_t written_ = 0;    // bytes of the current piece that have been written
   bool is_last_piece_ = false;
