--- a/node/dispatch/balancer_host.cpp
+++ b/node/dispatch/balancer_host.cpp
@@ -1,3 +1,4 @@
+// Handles the balancer's events one at a time, and executes the resulting actions.
 #include "node/dispatch/balancer_host.h"
 
 #include <boost/asio/steady_timer.hpp>
@@ -28,10 +29,10 @@
   bool& flag_;
 };
 
-const char* action_name(const balancer::SendAttempt&) { return "send attempt"; }
+const char* action_name(const balancer::SendAttempt&) { return "send attempt of request"; }
 const char* action_name(const balancer::RejectRequest&) { return "reject request"; }
 const char* action_name(const balancer::FailRequest&) { return "fail request"; }
-const char* action_name(const balancer::CancelAttempt&) { return "cancel attempt"; }
+const char* action_name(const balancer::CancelAttempt&) { return "cancel attempt of request"; }
 const char* action_name(const balancer::SetTimer&) { return "set timer"; }
 const char* action_name(const balancer::WatchEndpoints&) { return "watch endpoints"; }
 const char* action_name(const balancer::LogLine&) { return "log line"; }
@@ -58,7 +59,7 @@
                            BalancerActionHandler& action_handler)
     : io_(io), action_handler_(action_handler), balancer_(config.settings, config.seed) {}
 
-balancer::EndpointMetrics BalancerHost::endpoints() const { return balancer_.endpoint_metrics(now()); }
+balancer::EndpointMetrics BalancerHost::endpoint_metrics() const { return balancer_.endpoint_metrics(now()); }
 
 void BalancerHost::handle_event(balancer::Event event) {
   events_.push_back(std::move(event));
--- a/node/dispatch/balancer_host.h
+++ b/node/dispatch/balancer_host.h
@@ -42,7 +42,7 @@
   // returns. An action that throws ends only its own request: the other actions are executed.
   void handle_event(balancer::Event event);
 
-  balancer::EndpointMetrics endpoints() const;
+  balancer::EndpointMetrics endpoint_metrics() const;
 
  private:
   void handle_next_event();
--- a/node/dispatch/in_flight_request.cpp
+++ b/node/dispatch/in_flight_request.cpp
@@ -1,3 +1,4 @@
+// Keeps the attempts of a request, and decides whether another attempt may be sent.
 #include "node/dispatch/in_flight_request.h"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 using balancer::Outcome;
 
-// Whether an attempt with this outcome was certainly not begun by any server.
+// Whether this outcome proves that no server has begun to handle the attempt.
 bool proves_never_ran(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
--- a/node/dispatch/request_deadline.cpp
+++ b/node/dispatch/request_deadline.cpp
@@ -1,3 +1,4 @@
+// Reserves a part of a client's timeout for transfers and for the node's own response.
 #include "node/dispatch/request_deadline.h"
 
 #include <algorithm>
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -1,3 +1,4 @@
+// Dispatches requests: executes the balancer's actions, and notifies the balancer of events.
 #include "node/dispatch/request_dispatcher.h"
 
 #include <algorithm>
@@ -22,7 +23,8 @@
 using http::kServiceUnavailable;
 using timing::now;
 
-// How long a node that knows endpoints from its configuration waits for a newer endpoint list.
+// How long a node that knows endpoints from its configuration, and thus from an earlier process, waits for a
+// newer endpoint list.
 constexpr Seconds kFirstEndpointListTimeout = 1;
 
 RequestDeadline to_deadline(const DownstreamRequest& request) {
@@ -55,7 +57,7 @@
 
 void RequestDispatcher::start() {
   balancer_.handle_event(balancer::ReplicaStarted{});
-  if (!config_.settings.requires_watch) start_watch_();  // pushed endpoint lists arrive on the same stream
+  if (!config_.settings.requires_watch) start_watch_();  // a watch also receives pushed endpoint lists
   if (!config_.known_endpoints) return;
   apply_endpoint_list(*config_.known_endpoints);
   const auto timer = std::make_shared<boost::asio::steady_timer>(
@@ -131,7 +133,7 @@
 
 RequestId RequestDispatcher::dispatch(DownstreamRequest request, ResponseCallback on_response) {
   const RequestId id = requests_.next_id();
-  if (is_expired(request)) {  // it has waited behind another request, or unread in the socket
+  if (is_expired(request)) {  // the request has waited behind another request, or unread in the socket
     on_response(rejection_response());
     return id;
   }
@@ -245,7 +247,8 @@
   const std::shared_ptr<InFlightRequest> request = requests_.find(id);
   if (request == nullptr) return;
   Attempt& attempt = *request->find_attempt(number);
-  if (!attempt.is_open()) return;  // its start failed, and end_after_failure() has ended it
+  // If the start of the attempt failed, end_after_failure() has already ended the attempt.
+  if (!attempt.is_open()) return;
   attempt.end(result.outcome);
   const Seconds sent_at = std::max(attempt.sent_at, result.body_stream_sent_at);
   if (result.outcome == Outcome::kSuccess) {
--- a/node/dispatch/request_dispatcher.h
+++ b/node/dispatch/request_dispatcher.h
@@ -47,7 +47,7 @@
   // Responds to all requests without a final response as if their deadlines had passed.
   void expire_all_requests();
 
-  // The response to requests that the node rejects by itself, without a decision of the balancer.
+  // The response to requests that the node rejects without a decision of the balancer.
   DownstreamResponse rejection_response() const;
 
   void on_endpoint_list(const config::EndpointList& list);
@@ -55,11 +55,12 @@
 
   // Whether requests can be served: there is an endpoint, and the endpoint list is current.
   bool is_ready() const { return endpoint_list_is_current_ && has_endpoints_; }
-  // Whether discovery has delivered an endpoint list, or has had the time to deliver one. Until then the
-  // only endpoints are those of the configuration, if any, and they may be outdated.
+  // Whether discovery has delivered an endpoint list, or has had the time to deliver one. Until then the only
+  // endpoints are those of the configuration, if any. They come from an earlier process of the node, and may
+  // be outdated.
   bool is_endpoint_list_current() const { return endpoint_list_is_current_; }
   void set_max_upstream_connections(std::size_t connections) { pool_.set_max_connections(connections); }
-  balancer::EndpointMetrics endpoints() const { return balancer_.endpoints(); }
+  balancer::EndpointMetrics endpoint_metrics() const { return balancer_.endpoint_metrics(); }
 
  private:
   // Implements BalancerActionHandler.
--- a/node/dispatch/request_id.cpp
+++ b/node/dispatch/request_id.cpp
@@ -1,3 +1,4 @@
+// Converts request ids to text and back.
 #include "node/dispatch/request_id.h"
 
 #include <charconv>
--- a/node/dispatch/request_id.h
+++ b/node/dispatch/request_id.h
@@ -17,7 +17,7 @@
 
 // Returns the text that identifies the request in the balancer's events and actions.
 std::string to_text(RequestId id);
-// Returns nothing if the text is not the result of to_text().
+// Returns nothing if the text is not a decimal number that fits into 64 bits.
 std::optional<RequestId> parse_request_id(std::string_view text);
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_table.cpp
+++ b/node/dispatch/request_table.cpp
@@ -1,3 +1,4 @@
+// Adds, finds and removes requests in flight.
 #include "node/dispatch/request_table.h"
 
 #include <optional>
--- a/node/process/node.cpp
+++ b/node/process/node.cpp
@@ -140,7 +140,7 @@
 }
 
 std::string Node::metrics_report() const {
-  const balancer::EndpointMetrics endpoints = dispatcher_.endpoints();
+  const balancer::EndpointMetrics endpoints = dispatcher_.endpoint_metrics();
   return metrics_.report({server_.pending_requests(), endpoints.listed, endpoints.unavailable});
 }
 
