--- a/node/admin/admin_connection.cpp
+++ b/node/admin/admin_connection.cpp
@@ -1,3 +1,4 @@
+// Reads an operator's request, responds, and enforces the limits of the connection.
 #include "node/admin/admin_connection.h"
 
 #include <array>
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -19,7 +19,7 @@
   std::function<std::string()> metrics_report;  // for GET /metrics
 };
 
-// Reads one request, responds, and closes the connection.
+// Reads one request, sends the response, and closes the connection.
 class AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
   // callbacks has to outlive the connection.
@@ -52,7 +52,7 @@
   boost::asio::ip::tcp::socket socket_;
   std::function<void()> on_closed_;
   State state_ = State::kReading;
-  bool has_received_bytes_ = false;  // of a request
+  bool has_received_bytes_ = false;  // whether a part of the request has arrived
   Seconds state_since_;              // on the steady clock
   std::size_t parsed_bytes_ = 0;     // of the request's head
   std::size_t discarded_bytes_ = 0;  // received after the response
--- a/node/admin/admin_server.cpp
+++ b/node/admin/admin_server.cpp
@@ -1,3 +1,4 @@
+// Accepts operators' connections, and closes connections that are evicted or overdue.
 #include "node/admin/admin_server.h"
 
 #include <algorithm>
@@ -16,9 +17,9 @@
 
 // The limit for connections that are accepted in a row before other sockets are served.
 constexpr int kMaxAcceptsPerWait = 64;
-constexpr int kListenBacklog = 256;  // connections that the operating system queues
+constexpr int kListenBacklog = 256;  // connections that the operating system queues until they are accepted
 constexpr auto kOverdueCheckPeriod = std::chrono::milliseconds(200);
-constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);  // avoids a busy loop while accepting fails
 
 }  // namespace
 
--- a/node/admin/admin_server.h
+++ b/node/admin/admin_server.h
@@ -11,8 +11,8 @@
 
 namespace asterdrift::node::admin {
 
-// Has a limit of its own for its connections, so that it responds however many clients and idle operators are
-// connected to the node.
+// Has a limit of its own for its connections and closes some of them at that limit, so that it responds
+// however many clients are connected to the node, and however many operators' connections are idle.
 class AdminServer {
  public:
   // One more file descriptor is reserved, for accepting a connection at this limit.
--- a/node/telemetry/log.cpp
+++ b/node/telemetry/log.cpp
@@ -1,3 +1,4 @@
+// Writes log lines to standard error.
 #include "node/telemetry/log.h"
 
 #include <cstdio>
--- a/node/telemetry/log.h
+++ b/node/telemetry/log.h
@@ -5,7 +5,7 @@
 
 namespace asterdrift::node::telemetry {
 
-// Writes one line: the steady clock's time in seconds, and the text.
+// Writes one line to standard error: the steady clock's time in seconds, and the text.
 void log_line(const std::string& text);
 
 }  // namespace asterdrift::node::telemetry
--- a/node/telemetry/metrics.cpp
+++ b/node/telemetry/metrics.cpp
@@ -1,3 +1,4 @@
+// Counts events, and formats the report of the metrics.
 #include "node/telemetry/metrics.h"
 
 #include <algorithm>
--- a/node/telemetry/metrics.h
+++ b/node/telemetry/metrics.h
@@ -9,7 +9,7 @@
 
 namespace asterdrift::node::telemetry {
 
-// The eviction of a client's connection: it was closed to make room for other connections.
+// The eviction of a client's connection, which was closed to make room for other connections.
 struct Eviction {
   enum class ConnectionState {
     kNew,             // the client had sent nothing
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -23,7 +23,7 @@
   // The bytes of the body that the client is still sending. Null: buffered_body is the complete body.
   std::shared_ptr<memory::BodyStream> body_stream;
   bool is_chunked = false;            // the length of the body is not known
-  bool body_stream_consumed = false;  // bytes of body_stream have been sent, and are not buffered any more
+  bool body_stream_consumed = false;  // bytes of body_stream were sent, and are not buffered any more
   // Whether the client still awaits a response. Called before bytes are sent. The call may end attempts of
   // the request.
   std::function<bool()> is_response_awaited;
@@ -60,7 +60,7 @@
 // Identifies an attempt within a connection pool. 0: no attempt.
 enum class AttemptId : std::uint64_t {};
 
-// Refers to an attempt. Its connection may carry other attempts later.
+// Refers to an attempt. The connection may carry other attempts after this one.
 struct AttemptHandle {
   std::weak_ptr<Connection> connection;
   AttemptId attempt_id{};
--- a/node/upstream/attempt_timer.cpp
+++ b/node/upstream/attempt_timer.cpp
@@ -1,3 +1,4 @@
+// Computes the time limits of an attempt.
 #include "node/upstream/attempt_timer.h"
 
 #include <algorithm>
--- a/node/upstream/attempt_timer.h
+++ b/node/upstream/attempt_timer.h
@@ -16,7 +16,8 @@
  public:
   explicit AttemptTimer(boost::asio::io_context& io) : timer_(io) {}
 
-  // timeout: from `began_at` to the complete response, or to the first byte of a streamed response.
+  // Begins an attempt.
+  // timeout: from `began_at` to the complete response, or to the beginning of a streamed response.
   // write_timeout: from `began_at` until the request has been written completely.
   void begin(Seconds began_at, Seconds timeout, Seconds write_timeout);
   // Lets the timeout count from `now` on.
@@ -26,12 +27,12 @@
   // The remaining part of the timeout, at least 1 ms.
   std::int64_t remaining_ms() const;
 
-  // Bytes have been sent or received.
+  // To be called when bytes have been sent or received.
   void on_progress() { progress_at_ = timing::now(); }
   // When a streamed body times out for lack of progress. Time in which the client is awaited does not count.
   Seconds stall_timeout_at(bool awaits_client) const;
 
-  // A response of unknown length is buffered for a short time before it is streamed.
+  // Limits the time for which a response of unknown length is buffered before it is streamed.
   void begin_buffering();
   void end_buffering() { buffer_until_ = 0; }
   bool is_buffering() const { return buffer_until_ > 0; }
--- a/node/upstream/connection.cpp
+++ b/node/upstream/connection.cpp
@@ -1,3 +1,4 @@
+// Establishes a connection to a server, and transfers the requests and responses of its attempts.
 #include "node/upstream/connection.h"
 
 #include <algorithm>
@@ -132,7 +133,7 @@
   timer_.cancel();
 }
 
-// An exception, such as one for lack of memory, ends only this connection.
+// Executes a step of the attempt. An exception, such as one for lack of memory, ends only this connection.
 template <class Step>
 void Connection::guard(const Step& step) {
   try {
@@ -160,7 +161,7 @@
                                                           : !is_waiting_writable_);
 }
 
-// A timeout must not report a completely written request as never run.
+// An attempt whose request has been written completely may have run, and must not end as one that never ran.
 void Connection::on_timer() {
   if (state_ != State::kReading && now() >= timer_.write_deadline()) return end_attempt(Outcome::kNotSent);
   if (state_ == State::kConnecting && now() < timer_.timeout_at())
@@ -173,8 +174,8 @@
 }
 
 void Connection::write() {
-  // No attempt may begin for a client that has disconnected, even if the disconnection has not been handled
-  // yet.
+  // Nothing may be sent for a client that has disconnected, even if the event loop has not handled the
+  // disconnection yet.
   const std::shared_ptr<UpstreamRequest> request = request_;
   const bool is_response_awaited =
       response_.is_streaming() || !request->is_response_awaited || request->is_response_awaited();
@@ -257,7 +258,7 @@
       return end_attempt(response_.outcome(), may_reuse ? Reuse::kAllowed : Reuse::kNever);
     }
     case ResponseParser::Result::kIncomplete:
-      if (!response_.is_stream_full()) wait_readable();  // else once the stream is writable
+      if (!response_.is_stream_full()) wait_readable();  // otherwise on_stream_writable() does
   }
 }
 
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -47,7 +47,7 @@
   const std::string& endpoint() const { return endpoint_; }
   std::uint64_t generation() const { return generation_; }
 
-  // Lets the connection wait for its next attempt.
+  // Makes the connection idle: it waits for its next attempt.
   void set_idle();
   Seconds idle_since() const { return idle_since_; }
   // Whether an idle connection has been closed by its server, or has received unexpected bytes.
--- a/node/upstream/connection_owner.h
+++ b/node/upstream/connection_owner.h
@@ -13,7 +13,7 @@
 
 class Connection;
 
-// Notified of state changes of its connections. Has to outlive them.
+// Is notified of state changes of its connections. Has to outlive the connections.
 class ConnectionOwner {
  public:
   ConnectionOwner(boost::asio::io_context& io, memory::MemoryBudget& body_budget, telemetry::Metrics& metrics,
@@ -26,8 +26,8 @@
   // An attempt has ended, and its connection may carry another attempt. The owner makes the connection idle
   // or closes it.
   virtual void on_reusable(const std::shared_ptr<Connection>& connection) = 0;
-  // An idle connection has been closed by its server, or has received unexpected bytes. It closes itself
-  // after this call.
+  // An idle connection has been closed by its server, or has received unexpected bytes. The connection closes
+  // itself after this call.
   virtual void on_idle_ended(const std::shared_ptr<Connection>& connection) = 0;
   // A connection that had been idle was reset shortly after its next request began.
   virtual void on_stale_reset() = 0;
--- a/node/upstream/connection_pool.cpp
+++ b/node/upstream/connection_pool.cpp
@@ -1,3 +1,4 @@
+// Selects, opens and closes the connections of the pool, and applies endpoint lists.
 #include "node/upstream/connection_pool.h"
 
 #include <utility>
@@ -12,7 +13,7 @@
 using boost::system::error_code;
 using timing::now;
 
-// How long connections that have been idle are avoided after a stale connection.
+// How long connections that have been idle are not reused after a connection turned out to be stale.
 constexpr Seconds kAvoidIdleTime = 10;
 // Connections that have been idle for longer than this fraction of the servers' idle timeout are not reused.
 constexpr double kMaxIdleTimeFraction = 0.9;
@@ -76,9 +77,9 @@
 
 // Takes the most recently used connection, so that the others can expire. A request must not be written to a
 // connection that the server has closed or is about to close: a request that is not idempotent could not be
-// retried. After a stale connection, which a middlebox may have dropped, only connections that were used a
-// moment ago are reused for kAvoidIdleTime. This applies to idempotent requests too, since few servers detect
-// duplicates.
+// retried. After a connection turned out to be stale, for example since a middlebox had dropped it, only
+// connections that have been idle for less than kFreshIdleTime are reused for kAvoidIdleTime. This applies to
+// idempotent requests too, since few servers detect duplicates.
 std::shared_ptr<Connection> ConnectionPool::take_idle(PooledEndpoint& endpoint) {
   while (!endpoint.idle.empty()) {
     std::shared_ptr<Connection> last = endpoint.idle.back();
@@ -110,8 +111,8 @@
 
 void ConnectionPool::on_reusable(const std::shared_ptr<Connection>& connection) {
   PooledEndpoint* pooled = find_endpoint(connection->endpoint());
-  // If the server has been replaced while the connection was busy, the connection leads to the previous
-  // process.
+  // If the server was restarted, moved or removed while the connection was busy, the connection leads to the
+  // earlier process or address.
   if (pooled == nullptr || pooled->generation != connection->generation()) return connection->close();
   if (open_connections_ > max_connections_) return connection->close();
   connection->idle_position = idle_.insert(idle_.end(), connection);
@@ -154,7 +155,7 @@
   std::vector<AttemptHandle> to_stop;
   ++lists_applied_;
   for (const config::ListedEndpoint& listed : list.endpoints) {
-    if (listed.endpoint.state == EndpointState::kReady) apply_ready(listed, to_stop);
+    if (listed.endpoint.state == EndpointState::kReady) apply_ready_endpoint(listed, to_stop);
   }
   for (const config::ListedEndpoint& listed : list.endpoints) {
     if (listed.endpoint.state == EndpointState::kReady) continue;
@@ -168,10 +169,11 @@
   return to_stop;
 }
 
-void ConnectionPool::apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& to_stop) {
+void ConnectionPool::apply_ready_endpoint(const config::ListedEndpoint& listed,
+                                          std::vector<AttemptHandle>& to_stop) {
   PooledEndpoint& endpoint = endpoints_[listed.endpoint.address];
-  // For a new incarnation or a new address, connections that are idle or being established cannot be used any
-  // more.
+  // Connections that are idle or being established lead to the earlier incarnation or address, and cannot be
+  // used any more.
   if (endpoint.address != listed.socket_address || endpoint.started_at != listed.endpoint.started_at) {
     close_idle(endpoint);
     append_handles(endpoint.connecting, to_stop);
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -25,8 +25,9 @@
   ConnectionPool(boost::asio::io_context& io, const config::NodeConfig& config,
                  memory::MemoryBudget& body_budget, telemetry::Metrics& metrics, std::size_t max_connections);
 
-  // Starts an attempt. It may end before this function returns. The timeout counts from when the request is
-  // sent. A request that is not written completely within `write_timeout` ends as not sent.
+  // Starts an attempt. The attempt may end before this function returns. `timeout` counts from this call, for
+  // a request with a body_stream from when the last byte of the stream has been sent. An attempt whose
+  // request has not been written completely within `write_timeout` ends as not sent.
   AttemptHandle start_attempt(const std::string& endpoint, std::shared_ptr<UpstreamRequest> request,
                               Seconds timeout, Seconds write_timeout, AttemptCallbacks callbacks);
 
@@ -54,7 +55,7 @@
   struct PooledEndpoint {
     boost::asio::ip::tcp::endpoint address;
     std::uint32_t last_list = 0;   // the value of lists_applied_ for the last list with this endpoint
-    Seconds started_at = 0;        // when the server process started, on the steady clock
+    Seconds started_at = 0;        // when the server process started, on the steady clock; 0: long ago
     std::uint64_t generation = 0;  // changes with each incarnation or address
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used is last
     std::vector<std::shared_ptr<Connection>> connecting;
@@ -74,13 +75,14 @@
   void close_oldest_idle();
   void close_idle(PooledEndpoint& endpoint);
   void close_expired();
-  void apply_ready(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& to_stop);
+  void apply_ready_endpoint(const config::ListedEndpoint& listed, std::vector<AttemptHandle>& to_stop);
   void remove_endpoint(Endpoints::iterator endpoint, std::vector<AttemptHandle>& to_stop);
 
   const Seconds max_idle_time_;
   std::size_t max_connections_;
   std::size_t open_connections_ = 0;
-  // Until this time, only connections that were used a moment ago are reused. Set after a stale connection.
+  // Until this time, only connections that have been idle for less than kFreshIdleTime are reused. Set after
+  // a connection turned out to be stale.
   Seconds avoid_idle_until_ = 0;
   std::uint64_t last_attempt_id_ = 0, last_generation_ = 0;
   std::uint32_t lists_applied_ = 0;
--- a/node/upstream/response_parser.cpp
+++ b/node/upstream/response_parser.cpp
@@ -1,3 +1,4 @@
+// Parses responses, and derives the outcomes of attempts from them.
 #include "node/upstream/response_parser.h"
 
 #include <boost/asio/buffer.hpp>
--- a/node/upstream/response_parser.h
+++ b/node/upstream/response_parser.h
@@ -14,8 +14,9 @@
 
 namespace asterdrift::node::upstream {
 
-// Skips interim responses (1xx). A response is invalid if its head is too long, or if its length is ambiguous
-// or too large. The request of an invalid response may have run, and the connection cannot be reused.
+// Skips interim responses (1xx except 101). A response is invalid if it is malformed, if its head is too
+// long, if its length is ambiguous or too large, or if too many interim responses precede it. The request of
+// an invalid response may have run, and the connection cannot be reused.
 class ResponseParser {
  public:
   enum class Result { kIncomplete, kComplete, kInvalid };
--- a/node/upstream/response_receiver.cpp
+++ b/node/upstream/response_receiver.cpp
@@ -1,3 +1,4 @@
+// Buffers, streams or discards the body of a response.
 #include "node/upstream/response_receiver.h"
 
 #include <string>
--- a/node/upstream/response_receiver.h
+++ b/node/upstream/response_receiver.h
@@ -18,9 +18,9 @@
 // Discards the bodies of responses whose status is not 200.
 class ResponseReceiver {
  public:
-  // What the bytes received so far require of the caller.
+  // What the caller has to do about the bytes received so far.
   enum class BodyState {
-    kReceiving,      // nothing: the body is buffered, streamed or discarded
+    kReceiving,      // no action: the body is buffered, streamed or discarded
     kUnknownLength,  // the body may be long or slow, and is to be buffered only for a limited time
     kTooLarge        // the body has to be streamed
   };
