--- a/tests/node/admin_server_test.cpp
+++ b/tests/node/admin_server_test.cpp
@@ -37,7 +37,7 @@
   EXPECT_GT(node.admin_port(), 0) << "the address may be set by the environment variable GW_MANAGEMENT";
 }
 
-TEST(AdminServer, RespondsToInvalidRequestsWithTheirStatus) {
+TEST(AdminServer, InvalidRequestsGetMatchingErrorStatus) {
   NodeFixture fixture;
   fixture.enable_admin_server();
   fixture.start_with_both_servers();
--- a/tests/node/race_conditions_test.cpp
+++ b/tests/node/race_conditions_test.cpp
@@ -1,5 +1,6 @@
 // Race conditions: events of clients, servers and discovery that occur at nearly the same time, such as the
-// end of a connection and a request on it. A suspended node finds events together that occur meanwhile.
+// end of a connection and a request on it. Some tests suspend the node, so that it finds several events at
+// once when it is resumed.
 #include <string>
 #include <vector>
 
@@ -10,7 +11,8 @@
 namespace {
 
 // An overloaded node finds more input than it reads in one iteration of its event loop. Meanwhile the time
-// limit for new connections without a request expires: it must not close those whose request is still unread.
+// limit for new connections without a request expires. The node must not close connections whose request it
+// has not read yet.
 TEST(RaceConditions, ConnectionWithUnreadRequestIsNotClosed) {
   LongTimeoutFixture fixture;
   fixture.start_with_one_server();
@@ -28,8 +30,8 @@
   EXPECT_EQ(successes, 300);
 }
 
-// A response arrives together with the end of its client's connection, in either order. It must not be sent
-// to the next client of the server.
+// A response arrives together with the end of its client's connection, in either order. The response must not
+// be sent to the next client of the server.
 TEST(RaceConditions, ResponseForDepartedClientIsDiscarded) {
   for (const bool response_first : {false, true}) {
     for (const Departure departure : kCloseAndReset) {
--- a/tests/node/streaming_test.cpp
+++ b/tests/node/streaming_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMebibyte = 1024UL * 1024;
 
-// A pseudo-random body, with which a lost, duplicated or moved part is detected.
+// Returns a pseudo-random body, in which lost, duplicated and moved parts are detected.
 std::string make_body(std::size_t size) {
   std::string body(size, '\0');
   std::uint32_t state = 12345;
@@ -238,8 +238,8 @@
   }
 }
 
-// A retry needs all bytes of the body that have been sent. The node buffers only the first 64 KiB, so a
-// request whose body was sent beyond that is not retried.
+// A retry has to send all bytes of the body again. The node keeps only the first 64 KiB for that, so a
+// request is not retried after more of its body has been sent.
 TEST(Streaming, OnlyBufferedRequestsAreRetried) {
   const std::string body = make_body(32 * kMebibyte), first_part = body.substr(0, 66000);
   {
@@ -337,8 +337,7 @@
   fixture.node->read_log_until("draining");
   const Stopwatch stopwatch;
   std::string unsent = request_head("close", "r2") + length_and_end_of_head(400000) + make_body(200000);
-  // The upload is slow enough to last until the end of the drain, and fast enough not to time out before
-  // that.
+  // The upload is slow enough to last until the end of the drain, and fast enough not to time out earlier.
   wait_until([&] {
     const std::size_t piece = std::min<std::size_t>(unsent.size(), 6000);
     if (piece > 0) uploading.send(unsent.substr(0, piece));
--- a/tests/node/upstream_response_test.cpp
+++ b/tests/node/upstream_response_test.cpp
@@ -54,7 +54,7 @@
   }
 }
 
-// Servers send bodies that are several times as large as the 64 KiB that the operators' protocol names.
+// The protocol speaks of bodies of 64 KiB, but servers send bodies that are several times as large.
 TEST(UpstreamResponse, LargeResponsesAreForwardedCompletely) {
   NodeFixture fixture;
   fixture.start_with_one_server();
