--- a/node/downstream/connection.cpp
+++ b/node/downstream/connection.cpp
@@ -1,3 +1,4 @@
+// Reads, dispatches and answers a client's requests, and decides when the connection is closed.
 #include "node/downstream/connection.h"
 
 #include <algorithm>
--- a/node/downstream/connection_evictor.cpp
+++ b/node/downstream/connection_evictor.cpp
@@ -1,3 +1,4 @@
+// Searches the connection lists, in a fixed order, for an inactive connection to evict.
 #include "node/downstream/connection_evictor.h"
 
 #include <algorithm>
--- a/node/downstream/connection_state_tracker.cpp
+++ b/node/downstream/connection_state_tracker.cpp
@@ -1,3 +1,4 @@
+// Moves a connection between the server's lists, and updates the number of busy connections.
 #include "node/downstream/connection_state_tracker.h"
 
 #include "node/timing/clock.h"
--- a/node/downstream/eviction_log.cpp
+++ b/node/downstream/eviction_log.cpp
@@ -1,3 +1,4 @@
+// Counts evictions, and logs their number once per period.
 #include "node/downstream/eviction_log.h"
 
 #include <chrono>
--- a/node/downstream/input_buffer.cpp
+++ b/node/downstream/input_buffer.cpp
@@ -1,3 +1,4 @@
+// Stores received bytes with their arrival times, and limits the memory for pipelined bytes.
 #include "node/downstream/input_buffer.h"
 
 #include <algorithm>
--- a/node/downstream/receive_rate_monitor.cpp
+++ b/node/downstream/receive_rate_monitor.cpp
@@ -1,3 +1,4 @@
+// Computes the time at which a request's body falls below the minimum receive rate.
 #include "node/downstream/receive_rate_monitor.h"
 
 #include <utility>
--- a/node/downstream/request_accounting.cpp
+++ b/node/downstream/request_accounting.cpp
@@ -1,3 +1,4 @@
+// Counts pending requests, and determines which requests the metrics count, and with which status.
 #include "node/downstream/request_accounting.h"
 
 #include <utility>
--- a/node/downstream/request_parser.cpp
+++ b/node/downstream/request_parser.cpp
@@ -1,3 +1,4 @@
+// Runs Beast's parser on a request, enforces the size limits, and rejects folded headers.
 #include "node/downstream/request_parser.h"
 
 #include <boost/asio/buffer.hpp>
--- a/node/downstream/request_reader.cpp
+++ b/node/downstream/request_reader.cpp
@@ -1,3 +1,4 @@
+// Validates requests, reserves memory for their bodies, and buffers, streams or discards the bodies.
 #include "node/downstream/request_reader.h"
 
 #include <algorithm>
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -1,3 +1,4 @@
+// Rejects heads that are ambiguous or invalid, and builds the upstream request from a valid head.
 #include "node/downstream/request_validator.h"
 
 #include <algorithm>
--- a/node/downstream/response_sender.cpp
+++ b/node/downstream/response_sender.cpp
@@ -1,3 +1,4 @@
+// Writes a response to the client's socket piece by piece, as its body becomes available.
 #include "node/downstream/response_sender.h"
 
 #include <boost/asio/write.hpp>
--- a/node/downstream/response_writer.cpp
+++ b/node/downstream/response_writer.cpp
@@ -1,3 +1,4 @@
+// Formats the head of a response, and divides its body into pieces, with chunked framing if needed.
 #include "node/downstream/response_writer.h"
 
 #include <cstdio>
--- a/node/downstream/server.cpp
+++ b/node/downstream/server.cpp
@@ -1,3 +1,4 @@
+// Accepts connections up to the limit, closes those that time out, and hands over new connections.
 #include "node/downstream/server.h"
 
 #include <sys/socket.h>
--- a/node/downstream/server_state.cpp
+++ b/node/downstream/server_state.cpp
@@ -1,3 +1,4 @@
+// Defines which connection states are busy, and which list holds the connections of a state.
 #include "node/downstream/server_state.h"
 
 namespace asterdrift::node::downstream {
--- a/node/http/body.cpp
+++ b/node/http/body.cpp
@@ -1,3 +1,4 @@
+// Encodes the chunks of a chunked body.
 #include "node/http/body.h"
 
 #include <array>
--- a/node/http/response.cpp
+++ b/node/http/response.cpp
@@ -1,3 +1,4 @@
+// Formats the status line of a response.
 #include "node/http/response.h"
 
 #include <boost/beast/http/message.hpp>
--- a/node/memory/body_stream.cpp
+++ b/node/memory/body_stream.cpp
@@ -1,3 +1,4 @@
+// Buffers the bytes of a streamed body, and posts the notifications of its writer and reader.
 #include "node/memory/body_stream.h"
 
 #include <boost/asio/post.hpp>
--- a/node/net/address.cpp
+++ b/node/net/address.cpp
@@ -1,3 +1,4 @@
+// Formats socket addresses as ADDRESS:PORT.
 #include "node/net/address.h"
 
 #include <boost/system/error_code.hpp>
--- a/node/net/connection_steering.cpp
+++ b/node/net/connection_steering.cpp
@@ -1,3 +1,4 @@
+// Steers new connections with a BPF program that returns the index of a SO_REUSEPORT socket.
 #include "node/net/connection_steering.h"
 
 #include <linux/filter.h>
--- a/node/net/socket_probe.cpp
+++ b/node/net/socket_probe.cpp
@@ -1,3 +1,4 @@
+// Probes sockets with a non-blocking peek and with poll().
 #include "node/net/socket_probe.h"
 
 #include <poll.h>
--- a/node/net/timestamped_read.cpp
+++ b/node/net/timestamped_read.cpp
@@ -1,3 +1,4 @@
+// Receives bytes with the system's timestamp, and converts the timestamp to the steady clock.
 #include "node/net/timestamped_read.h"
 
 #include <sys/socket.h>
--- a/node/timing/clock.cpp
+++ b/node/timing/clock.cpp
@@ -1,3 +1,4 @@
+// Reads the steady clock, and converts Unix times to it and Seconds to the types of timers.
 #include "node/timing/clock.h"
 
 #include <algorithm>
