--- a/node/config/node_config.cpp
+++ b/node/config/node_config.cpp
@@ -18,7 +18,8 @@
 using json::Json;
 
 constexpr int kMinSockets = 64;
-constexpr double kMinMemoryMb = 16, kMaxMemoryMb = 1e6;  // the maximum itself is too large
+constexpr double kMinMemoryMb = 16;   // the smallest valid value
+constexpr double kMaxMemoryMb = 1e6;  // valid values are below this value
 constexpr int kHexadecimalBase = 16;
 
 // A configuration text, separated into the object in the field "known" and all other fields.
@@ -35,7 +36,7 @@
   std::size_t depth = 0;         // number of open brackets
   std::size_t object_begin = 0;  // position of the object's opening bracket; 0: none yet
   bool in_string = false;
-  bool value_is_next = false;  // the last string between the configuration's fields is the key
+  bool value_is_next = false;  // the last string at depth 1 is the key "known"
   for (std::size_t position = 0; position < text.size(); ++position) {
     const char c = text[position];
     if (in_string) {
--- a/node/config/node_config.h
+++ b/node/config/node_config.h
@@ -30,18 +30,20 @@
   std::size_t max_sockets = 1024;
   std::size_t memory_mb = 64;  // in units of 2^20 bytes
   balancer::Settings settings;
-  std::vector<std::string> classes, tenants, zones;  // their names, in the order of the settings
+  std::vector<std::string> classes, tenants, zones;  // the names, in the order of the settings
   Seconds connect_timeout = 0.25;
-  Seconds server_idle_timeout = 5;              // after which servers close idle connections
+  Seconds server_idle_timeout = 5;              // servers close connections that are idle for this long
   std::optional<EndpointList> known_endpoints;  // from an earlier process of this node; may be outdated
 };
 
-// Half of the node's memory is for endpoints; a longer list is rejected. An endpoint takes about 470 bytes in
-// the balancer and the connection pools, and 650 bytes while a snapshot is being applied.
+// An endpoint takes about 470 bytes in the balancer and the connection pools, and 650 bytes while a snapshot
+// is being applied.
 constexpr std::size_t kBytesPerEndpoint = 600;
+
+// The number of endpoints that fit into half of the node's memory. A longer endpoint list is rejected.
 std::size_t max_endpoints(std::size_t memory_mb);
 
-// Throws ConfigurationError.
+// Parses the text of a configuration file. Throws ConfigurationError.
 NodeConfig parse_config(const std::string& text);
 
 // Reads the file that the environment variable GW_CONFIG names. If the file contains no admin address, the
--- a/node/discovery/discovery_client.cpp
+++ b/node/discovery/discovery_client.cpp
@@ -96,7 +96,9 @@
     current_ = std::exchange(successor_, nullptr);
     is_changing_address_ = false;
   }
-  if (!is_changing_address_) version_.reset();  // until the list has been applied
+  // There is no version until the list has been applied: if the list cannot be applied, the next poll
+  // requests a snapshot.
+  if (!is_changing_address_) version_.reset();
   callbacks_.on_list(list);
   if (!is_connected_) log_line("discovery connected: " + net::to_text(watch->address()));
   is_connected_ = true;
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -59,13 +59,14 @@
   const config::NodeConfig& config_;
   const Callbacks callbacks_;
   boost::asio::ip::tcp::endpoint address_;
-  std::optional<std::uint64_t> version_;  // of the last list from address_; none: a snapshot is needed
-  bool next_is_snapshot_ = false;         // the changes since version_ are not valid
-  bool had_snapshot_ = false;             // from address_
+  std::optional<std::uint64_t>
+      version_;                    // version of the last list from address_; none: a snapshot is needed
+  bool next_is_snapshot_ = false;  // the changes since version_ are not valid
+  bool had_snapshot_ = false;      // a snapshot has arrived from address_
   std::shared_ptr<EndpointWatch> current_;
   std::shared_ptr<EndpointWatch> successor_;  // at a new address, until its first list
-  bool is_changing_address_ = false;          // no list has come from address_ yet
-  bool is_connected_ = true;                  // the last event was a list and not an error
+  bool is_changing_address_ = false;          // from a change of address_ until its first list arrives
+  bool is_connected_ = true;                  // true at the start and after a list, false after an error
   std::string last_invalid_list_message_;     // why the last invalid list was rejected; logged once
   PollBudget budget_;
   std::minstd_rand random_;
--- a/node/discovery/endpoint_watch.h
+++ b/node/discovery/endpoint_watch.h
@@ -46,7 +46,8 @@
   };
 
   struct Callbacks {
-    // A list. first_list_bytes: its size if it is the first list of the watch; 0 for later lists.
+    // The watch has received a list. first_list_bytes: the size of the first list of the watch; 0 for later
+    // lists.
     std::function<void(EndpointWatch*, config::EndpointList&&, std::size_t first_list_bytes)> on_list;
     // The watch has failed. Not called after close().
     std::function<void(EndpointWatch*, const WatchError&)> on_error;
--- a/node/discovery/poll_budget.h
+++ b/node/discovery/poll_budget.h
@@ -18,7 +18,7 @@
   static constexpr double kBurstBytes = 8.0 * 1024 * 1024;
   // The backoff after the first invalid list; each further invalid list doubles it.
   static constexpr Seconds kInitialBackoff = 0.25;
-  // This backoff and one poll that hangs stay below poll_timeouts::kNotifiedAfter together.
+  // The sum of this backoff and the duration of a poll that hangs stays below poll_timeouts::kNotifiedAfter.
   static constexpr Seconds kMaxBackoff = 3;
 
   enum class ChargeReason {
@@ -34,8 +34,10 @@
   // Whether the byte budget is exhausted.
   bool is_exhausted() const { return bytes_left_ < 0; }
 
+  // Begins the backoff, or doubles it.
   void record_invalid_list(Seconds now, double jitter);
 
+  // Ends the backoff.
   void record_valid_list() { backoff_ = 0; }
 
   // The time until the next poll is allowed.
--- a/node/discovery/poll_timeouts.h
+++ b/node/discovery/poll_timeouts.h
@@ -7,7 +7,8 @@
 // kAgentResponseTimeout replaces kConnectTimeout, kResponseTimeout and kConnectAndResponseTimeout, and
 // kMaxAgentPollDelay replaces kMaxPollDelay.
 //
-//   current phase               it ends    next poll   which hangs   and the one after
+//   current phase               ends by    next poll   which hangs   following poll
+//                                          starts by   until         starts by
 //   a silent watch              2.7        3.0         5.7           6.0
 //   a hanging connect           1.5        1.8         4.5           4.8
 //   a hanging response          2.5        2.8         5.5           5.8
@@ -32,10 +33,11 @@
 constexpr Seconds kConnectTimeout = 1.5;
 constexpr Seconds kResponseTimeout = 2.2;  // from the connection; polls wait up to 2 s in discovery's queue
 constexpr Seconds kConnectAndResponseTimeout = 2.5;  // from the start of the poll to the response head
-constexpr Seconds kAgentResponseTimeout = 1.0;       // likewise, for a poll of the local agent
-constexpr Seconds kSilenceTimeout = 2.7;             // discovery sends an empty line on a watch every 2 s
-constexpr Seconds kFirstLineTimeout = 2.2;           // from a late response head to the first line
-constexpr Seconds kMaxPollDelay = 0.3;               // between two polls of one address
+constexpr Seconds kAgentResponseTimeout =
+    1.0;                                  // from the start of a poll of the local agent to the response head
+constexpr Seconds kSilenceTimeout = 2.7;  // discovery sends an empty line on a watch every 2 s
+constexpr Seconds kFirstLineTimeout = 2.2;  // from a late response head to the first line
+constexpr Seconds kMaxPollDelay = 0.3;      // between two polls of one address
 // When an agent pushes the lists, a change counts as notified as soon as the agent is back, and polling the
 // agent is cheap: this delay stays far below the time within which requests to a draining server must stop.
 constexpr Seconds kMaxAgentPollDelay = 0.1;
--- a/node/process/graceful_shutdown.cpp
+++ b/node/process/graceful_shutdown.cpp
@@ -22,8 +22,8 @@
 // deadline, which is 3 s at most, plus 0.7 s.
 constexpr Seconds kAcceptTime = 0.55;  // during which new connections are accepted
 constexpr Seconds kMaxDeadline = 3;
-constexpr Seconds kConnectTime = 0.1;  // during which a connection is established
-// Connections that were begun before the hand-over may still arrive for this long after it.
+constexpr Seconds kConnectTime = 0.1;  // for establishing a connection
+// Connections that clients began to establish before the hand-over may arrive for this long after it.
 constexpr Seconds kMaxHandOverTime = 0.3;
 // A process without connections still waits for this long after kAcceptTime before it ends.
 constexpr Seconds kCloseDelay = 0.1;
--- a/tests/node/endpoint_list_test.cpp
+++ b/tests/node/endpoint_list_test.cpp
@@ -38,7 +38,7 @@
   }
 };
 
-// A snapshot of `count` endpoints: others at `port`, and `last_entry`.
+// A snapshot of `count` endpoints: all but the last are at `port`, and drain if the port is unreachable.
 std::string long_snapshot(int sequence, int count, const std::string& last_entry,
                           int port = kUnreachablePort) {
   std::string entries;
@@ -92,7 +92,8 @@
   fixture.config.known_endpoints =
       long_snapshot(7, kManyEndpoints, fixture.server_entry(0), fixture.servers[0].port());
   fixture.start();
-  EXPECT_TRUE(contains(fixture.accept_watch(), "index=7 ")) << "only the changes since the known list";
+  EXPECT_TRUE(contains(fixture.accept_watch(), "index=7 "))
+      << "the first poll requests only the changes since the known list";
   fixture.wait_until_ready();
   EXPECT_EQ(fixture.metric("members"), kManyEndpoints);
   expect_peak_memory_under_32_mb(*fixture.node);
--- a/tests/node/replacement_test.cpp
+++ b/tests/node/replacement_test.cpp
@@ -18,7 +18,8 @@
 constexpr const char* kOnlyProcessLogText = "only process of this node again";
 
 struct ReplacementFixture : FixedAddressFixture {
-  // A connection of the node to the server, and the request on it that has no response yet; empty if none.
+  // A connection of the node to the server. pending_request: the request on this connection that has no
+  // response yet; empty if there is none.
   struct ServerConnection {
     TestSocket socket;
     std::string pending_request;
--- a/tests/node_unit/endpoint_list_reader_test.cpp
+++ b/tests/node_unit/endpoint_list_reader_test.cpp
@@ -85,7 +85,8 @@
   }
 }
 
-// Rejects a list that is invalid in any part. A proper prefix of a valid list is neither invalid nor a list.
+// A list is rejected if any part of it is invalid. An incomplete prefix of a valid list is not rejected, and
+// is not returned as a list.
 TEST(EndpointListReader, RejectsInvalidLists) {
   const std::string entry = endpoint_entry(1);
   const std::vector<std::string> invalid_lists = {
