--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -59,8 +59,8 @@
   const config::NodeConfig& config_;
   const Callbacks callbacks_;
   boost::asio::ip::tcp::endpoint address_;
-  std::optional<std::uint64_t>
-      version_;                    // version of the last list from address_; none: a snapshot is needed
+  // The version of the last list from address_; none: a snapshot is needed.
+  std::optional<std::uint64_t> version_;
   bool next_is_snapshot_ = false;  // the changes since version_ are not valid
   bool had_snapshot_ = false;      // a snapshot has arrived from address_
   std::shared_ptr<EndpointWatch> current_;
