--- a/tests/soak/message_fields.cpp
+++ b/tests/soak/message_fields.cpp
@@ -4,7 +4,7 @@
 
 namespace asterdrift::soak {
 
-std::string text_field(const std::string& head, const std::string& name) {
+std::string header_field(const std::string& head, const std::string& name) {
   const std::string start = "\r\n" + name + ": ";
   const std::size_t position = head.find(start);
   if (position == std::string::npos) return {};
@@ -12,12 +12,12 @@
   return head.substr(begin, head.find("\r\n", begin) - begin);
 }
 
-std::size_t number_field(const std::string& head, const std::string& name) {
-  return std::strtoul(text_field(head, name).c_str(), nullptr, 10);
+std::size_t numeric_header_field(const std::string& head, const std::string& name) {
+  return std::strtoul(header_field(head, name).c_str(), nullptr, 10);
 }
 
-int status_of(const std::string& response) {
-  constexpr std::size_t kStatusPosition = 9;  // behind "HTTP/1.1 "
+int parse_status(const std::string& response) {
+  constexpr std::size_t kStatusPosition = 9;  // after "HTTP/1.1 "
   return response.size() > kStatusPosition ? std::atoi(response.c_str() + kStatusPosition) : 0;
 }
 
--- a/tests/soak/observations.h
+++ b/tests/soak/observations.h
@@ -1,4 +1,4 @@
-// What clients, endpoints and discovery have seen in one run. Times are seconds on the steady clock.
+// What clients, endpoints and discovery have observed in one soak run. Times are on the steady clock.
 #pragma once
 
 #include <cstdint>
@@ -6,55 +6,58 @@
 #include <string>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::soak {
 
 // How a request ended for its client.
-enum class RequestEnd {
-  kResponse,     // one complete response
-  kClosed,       // the node had read it, and ended the connection without a response
-  kReset,        // the same, but the node had not read it
-  kTruncated,    // a response began, and the connection ended inside it
-  kUnprocessed,  // pipelined behind a response that ended the connection
-  kLeft,         // the client closed the connection, or the run ended
-  kUnanswered    // nothing came for long after the request's time
+enum class RequestOutcome {
+  kResponse,               // the client received one complete response
+  kClosedWithoutResponse,  // the node had read the request, and closed the connection without a response
+  kReset,                  // the node closed the connection before it had read the request
+  kTruncated,              // the connection ended within the response
+  kUnprocessed,            // the request was pipelined behind a response that ended the connection
+  kClientDeparted,         // the client closed the connection, or the run ended
+  kTimedOut                // no response arrived until long after the request's timeout
 };
 
 struct RequestRecord {
   std::string id;
   std::string request_class;
-  double timeout = 0;  // s
+  Seconds timeout = 0;
   bool is_on_new_connection = false;
-  double connected_at = 0;
-  double sent_at = 0;  // the last byte; 0: not sent completely
-  double ended_at = 0;
-  RequestEnd end = RequestEnd::kLeft;
+  Seconds connected_at = 0;
+  Seconds sent_at = 0;  // when the last byte was sent; 0: the request was not sent completely
+  Seconds ended_at = 0;
+  RequestOutcome outcome = RequestOutcome::kClientDeparted;
   int status = 0;
   std::size_t response_bytes = 0;
 };
 
+// A request that the node has sent to an endpoint.
 struct AttemptRecord {
   std::string request_id;
   std::string endpoint;
-  double began_at = 0;          // the first byte arrived
-  double head_at = 0;           // the last byte of the head arrived
-  std::int64_t timeout_ms = 0;  // passed on by the node
-  bool is_complete = false;     // the last byte arrived
-  bool is_rejected = false;     // the endpoint said that it has not begun the request
+  Seconds began_at = 0;         // when the first byte arrived
+  Seconds head_at = 0;          // when the last byte of the head arrived
+  std::int64_t timeout_ms = 0;  // from the Request-Timeout-Ms that the node has sent
+  bool is_complete = false;     // the last byte of the request has arrived
+  bool is_rejected = false;     // the endpoint responded that it has not started the request
 };
 
-// A watch of the node has been sent the news that an endpoint drains or has gone.
+// An endpoint list that lists an endpoint as draining, or no longer lists it, has been sent on a watch.
 struct DrainRecord {
   std::string endpoint;
-  double notified_at = 0;
+  Seconds notified_at = 0;
 };
 
 // A connection that the node closed before its client had sent a byte.
 struct UnusedConnectionRecord {
-  double connected_at = 0;
-  double closed_at = 0;
+  Seconds connected_at = 0;
+  Seconds closed_at = 0;
 };
 
-// Collects records from all threads of a run; they are read after its end.
+// Collects the records of all threads of a run. The records may be read when all threads have ended.
 class Observations {
  public:
   void add(const RequestRecord& record) { append(requests, record); }
--- a/tests/soak/peer_connection.cpp
+++ b/tests/soak/peer_connection.cpp
@@ -23,7 +23,7 @@
 using test_support::FileDescriptor;
 using test_support::steady_seconds;
 
-constexpr std::size_t kReadSize = 65536;  // bytes
+constexpr std::size_t kMaxReadBytes = 65536;
 constexpr int kResetDelayMs = 20;
 constexpr double kMillisecondsPerSecond = 1e3, kNanosecondsPerSecond = 1e9;
 
@@ -32,8 +32,9 @@
   setsockopt(descriptor, level, option, &enabled, sizeof enabled);
 }
 
-// Whether a reset comes behind the end of the connection: the other side had not read all that was sent. The
-// reset may be a moment later, where bytes crossed the end.
+// Whether a reset follows the end of the connection: the other side had not read all bytes that were sent.
+// The reset may arrive a moment later if the bytes were on their way when the other side closed the
+// connection.
 bool has_been_reset(int descriptor) {
   pollfd reset{descriptor, 0, 0};  // POLLERR is always reported
   ::poll(&reset, 1, kResetDelayMs);
@@ -43,18 +44,19 @@
   return error != 0;
 }
 
-double seconds_of(const timespec& time) {
+Seconds to_seconds(const timespec& time) {
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / kNanosecondsPerSecond;
 }
 
-// The system's time of arrival (SO_TIMESTAMPNS), on the steady clock; now, where the system has none.
-double arrival_of(msghdr& message) {
+// When the message arrived according to the kernel (SO_TIMESTAMPNS), on the steady clock. Returns the current
+// time if the kernel has not recorded the time of arrival.
+Seconds arrival_time(msghdr& message) {
   for (cmsghdr* part = CMSG_FIRSTHDR(&message); part != nullptr; part = CMSG_NXTHDR(&message, part)) {
     if (part->cmsg_level != SOL_SOCKET || part->cmsg_type != SCM_TIMESTAMPNS) continue;
     timespec arrival{}, real_time{};
     std::memcpy(&arrival, CMSG_DATA(part), sizeof arrival);
     clock_gettime(CLOCK_REALTIME, &real_time);
-    return steady_seconds() - (seconds_of(real_time) - seconds_of(arrival));
+    return steady_seconds() - (to_seconds(real_time) - to_seconds(arrival));
   }
   return steady_seconds();
 }
@@ -94,11 +96,11 @@
   return true;
 }
 
-PeerConnection::Read PeerConnection::read_until(double deadline) {
-  const double wait = std::max(0.0, deadline - steady_seconds()) * kMillisecondsPerSecond;
+PeerConnection::Read PeerConnection::read_until(Seconds deadline) {
+  const double wait_ms = std::max(0.0, deadline - steady_seconds()) * kMillisecondsPerSecond;
   pollfd readable{descriptor_.get(), POLLIN, 0};
-  if (::poll(&readable, 1, static_cast<int>(std::ceil(wait))) <= 0) return Read::kTimeout;
-  std::array<char, kReadSize> bytes;
+  if (::poll(&readable, 1, static_cast<int>(std::ceil(wait_ms))) <= 0) return Read::kTimeout;
+  std::array<char, kMaxReadBytes> bytes;
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(timespec))> control{};
   iovec target{bytes.data(), bytes.size()};
   msghdr message{};
@@ -109,7 +111,7 @@
   const ssize_t size = ::recvmsg(descriptor_.get(), &message, 0);
   if (size == 0) return has_been_reset(descriptor_.get()) ? Read::kReset : Read::kClosed;
   if (size < 0) return Read::kReset;
-  received_at_ = arrival_of(message);
+  received_at_ = arrival_time(message);
   received_.append(bytes.data(), static_cast<std::size_t>(size));
   return Read::kBytes;
 }
--- a/tests/soak/peer_threads.h
+++ b/tests/soak/peer_threads.h
@@ -10,8 +10,8 @@
 
 namespace asterdrift::soak {
 
-// Runs functions in threads of their own, and joins all of them when it is destroyed. The functions have to
-// return soon once should_stop() holds.
+// Runs each function in a thread of its own, and joins all threads in its destructor. Each function has to
+// return soon after should_stop() has become true.
 class PeerThreads {
  public:
   PeerThreads() = default;
--- a/tests/soak/rules.cpp
+++ b/tests/soak/rules.cpp
@@ -10,16 +10,21 @@
 namespace asterdrift::soak {
 namespace {
 
-// The operators' slack, in seconds.
-constexpr double kLateResponse = 0.5, kLateAttempt = 0.1, kTimePassedOn = 0.15;
-constexpr double kDrainGrace = 0.35;
-constexpr std::size_t kStreamedBytes = 65536;  // larger responses are streamed, and have no time limit
-// s in which a new connection is spared: without other ones to close, and at the connection limit.
-constexpr double kSparedTime = 0.25, kSparedTimeAtLimit = 0.05;
+// Tolerances of the operators' rules.
+constexpr Seconds kMaxResponseLateness = 0.5;  // of a response, after the request's timeout
+constexpr Seconds kMaxAttemptLateness = 0.1;   // of the first byte of an attempt, after the client departed
+constexpr Seconds kMaxTimeoutExcess = 0.15;    // of the timeout that the node forwards to an endpoint
+constexpr Seconds kMaxDrainLateness = 0.35;  // of the first byte of an attempt, after notification of a drain
+// Responses of this size or more are streamed, and have no time limit.
+constexpr std::size_t kMinStreamedBytes = 65536;
+// The node must not close a new connection on which nothing has been sent before the connection has this age.
+// The lower age applies if the node is at its connection limit, where it may have no other connection to
+// close.
+constexpr Seconds kMinUnusedTime = 0.25, kMinUnusedTimeAtLimit = 0.05;
 
 using AttemptsById = std::unordered_multimap<std::string, const AttemptRecord*>;
 
-std::string seconds_text(double seconds) {
+std::string format_seconds(Seconds seconds) {
   char text[32];
   std::snprintf(text, sizeof text, "%.4f s", seconds);
   return text;
@@ -50,66 +55,73 @@
 
   void check_response(const RequestRecord& request) {
     if (request.sent_at == 0) return;
-    switch (request.end) {
-      case RequestEnd::kClosed:
-        return report("lost", request.id, "read, and its connection closed without a response");
-      case RequestEnd::kUnanswered:
-        return report("lost", request.id, "no response");
-      case RequestEnd::kTruncated:
-        return report("lost", request.id, "a response broke off");
-      case RequestEnd::kReset:
-        if (request.is_on_new_connection && !script_.has_crowd) {
-          report("lost", request.id, "a new connection was reset");
+    switch (request.outcome) {
+      case RequestOutcome::kClosedWithoutResponse:
+        return report("lost request", request.id,
+                      "the node read the request, and closed the connection without a response");
+      case RequestOutcome::kTimedOut:
+        return report("lost request", request.id, "no response until the client gave up");
+      case RequestOutcome::kTruncated:
+        return report("lost request", request.id, "the response was truncated");
+      case RequestOutcome::kReset:
+        if (request.is_on_new_connection && !script_.has_connection_flood) {
+          report("lost request", request.id, "the node reset a new connection");
         }
         return;
-      case RequestEnd::kResponse:
+      case RequestOutcome::kResponse:
         check_response_time(request);
         return;
-      case RequestEnd::kLeft:
-      case RequestEnd::kUnprocessed:
+      case RequestOutcome::kClientDeparted:
+      case RequestOutcome::kUnprocessed:
         return;
     }
   }
 
   void check_response_time(const RequestRecord& request) {
-    const double late = request.ended_at - request.sent_at - request.timeout;
-    if (request.response_bytes < kStreamedBytes && late > kLateResponse) {
-      report("late response", request.id, seconds_text(late) + " after its time");
+    const Seconds lateness = request.ended_at - request.sent_at - request.timeout;
+    if (request.response_bytes < kMinStreamedBytes && lateness > kMaxResponseLateness) {
+      report("late response", request.id, format_seconds(lateness) + " after the request's timeout");
     }
   }
 
   void check_attempts(const RequestRecord& request) {
     const auto [begin, end] = attempts_.equal_range(request.id);
-    int runs = 0;
+    int executions = 0;
     for (auto it = begin; it != end; ++it) {
       const AttemptRecord& attempt = *it->second;
-      if (attempt.is_complete && !attempt.is_rejected) ++runs;
-      if (request.end == RequestEnd::kLeft && attempt.began_at > request.ended_at + kLateAttempt) {
-        report("attempt for a departed client", request.id,
-               seconds_text(attempt.began_at - request.ended_at) + " after its client had closed");
+      if (attempt.is_complete && !attempt.is_rejected) ++executions;
+      if (request.outcome == RequestOutcome::kClientDeparted &&
+          attempt.began_at > request.ended_at + kMaxAttemptLateness) {
+        report(
+            "attempt for a departed client", request.id,
+            format_seconds(attempt.began_at - request.ended_at) + " after the client closed the connection");
       }
-      check_time_passed_on(request, attempt);
+      check_forwarded_timeout(request, attempt);
     }
-    if (request.request_class == "close" && runs > 1) {
-      report("run twice", request.id, std::to_string(runs) + " endpoints may have run an unsafe request");
+    if (request.request_class == "close" && executions > 1) {
+      report("unsafe request run twice", request.id,
+             std::to_string(executions) + " endpoints may have run the request");
     }
-    if (request.end == RequestEnd::kUnprocessed && runs > 0) {
-      report("lost", request.id, "it ran, and its connection ended without a response");
+    if (request.outcome == RequestOutcome::kUnprocessed && executions > 0) {
+      report("lost request", request.id,
+             "an endpoint received the request, and the connection ended without a response");
     }
   }
 
-  void check_time_passed_on(const RequestRecord& request, const AttemptRecord& attempt) {
+  void check_forwarded_timeout(const RequestRecord& request, const AttemptRecord& attempt) {
     if (request.sent_at == 0) return;
-    const double left = request.sent_at + request.timeout - attempt.head_at;
-    const double excess = static_cast<double>(attempt.timeout_ms) / 1000 - left;
-    if (excess > kTimePassedOn) {
-      report("time passed on", request.id, seconds_text(excess) + " more than its client has left");
+    const Seconds remaining = request.sent_at + request.timeout - attempt.head_at;
+    const Seconds excess = static_cast<double>(attempt.timeout_ms) / 1000 - remaining;
+    if (excess > kMaxTimeoutExcess) {
+      report("forwarded timeout too long", request.id,
+             format_seconds(excess) + " more than the client's remaining time");
     }
   }
 
-  // When every process has been notified of a drain.
-  std::optional<double> notified_at(const std::string& endpoint) const {
-    std::vector<double> times;
+  // When as many watches as the node has processes have been notified that an endpoint drains. If fewer
+  // watches have been notified, the time of the last notification; none if no watch has been notified.
+  std::optional<Seconds> notified_at(const std::string& endpoint) const {
+    std::vector<Seconds> times;
     for (const DrainRecord& drain : observations_.drains) {
       if (drain.endpoint == endpoint) times.push_back(drain.notified_at);
     }
@@ -120,22 +132,23 @@
   }
 
   void check_drains() {
-    std::map<std::string, std::optional<double>> notified;
+    std::map<std::string, std::optional<Seconds>> notified;
     for (const AttemptRecord& attempt : observations_.attempts) {
       const auto [it, is_new] = notified.try_emplace(attempt.endpoint);
       if (is_new) it->second = notified_at(attempt.endpoint);
-      if (it->second && attempt.began_at > *it->second + kDrainGrace) {
+      if (it->second && attempt.began_at > *it->second + kMaxDrainLateness) {
         report("sent to a draining endpoint", attempt.request_id,
-               seconds_text(attempt.began_at - *it->second) + " after the news of " + attempt.endpoint);
+               format_seconds(attempt.began_at - *it->second) + " after the notification that " +
+                   attempt.endpoint + " drains");
       }
     }
   }
 
   void check_unused_connections() {
-    const double spared = script_.has_crowd ? kSparedTimeAtLimit : kSparedTime;
+    const Seconds min_age = script_.has_connection_flood ? kMinUnusedTimeAtLimit : kMinUnusedTime;
     for (const UnusedConnectionRecord& connection : observations_.unused_connections) {
-      const double age = connection.closed_at - connection.connected_at;
-      if (age < spared) report("new connection closed", "", "at an age of " + seconds_text(age));
+      const Seconds age = connection.closed_at - connection.connected_at;
+      if (age < min_age) report("new connection closed", "", "at an age of " + format_seconds(age));
     }
   }
 
@@ -145,22 +158,22 @@
   std::vector<Violation> violations_;
 };
 
-const char* name_of(RequestEnd end) {
-  switch (end) {
-    case RequestEnd::kResponse:
+const char* description(RequestOutcome outcome) {
+  switch (outcome) {
+    case RequestOutcome::kResponse:
       return "response";
-    case RequestEnd::kClosed:
+    case RequestOutcome::kClosedWithoutResponse:
       return "connection closed";
-    case RequestEnd::kReset:
+    case RequestOutcome::kReset:
       return "connection reset";
-    case RequestEnd::kTruncated:
+    case RequestOutcome::kTruncated:
       return "response truncated";
-    case RequestEnd::kUnprocessed:
-      return "not processed: the response before it ended the connection";
-    case RequestEnd::kLeft:
-      return "client closed";
-    case RequestEnd::kUnanswered:
-      return "given up without a response";
+    case RequestOutcome::kUnprocessed:
+      return "not processed, since the preceding response ended the connection";
+    case RequestOutcome::kClientDeparted:
+      return "client closed the connection";
+    case RequestOutcome::kTimedOut:
+      return "client gave up without a response";
   }
   return "";
 }
@@ -171,40 +184,42 @@
   return RuleCheck(script, observations).run();
 }
 
-std::string history_of(const std::string& request_id, const Observations& observations, double started_at) {
-  std::multimap<double, std::string> events;
-  const auto add = [&](double time, const std::string& text) {
-    events.emplace(time, seconds_text(time - started_at) + "  " + text + "\n");
+std::string request_history(const std::string& request_id, const Observations& observations,
+                            Seconds started_at) {
+  std::multimap<Seconds, std::string> events;
+  const auto add = [&](Seconds time, const std::string& text) {
+    events.emplace(time, format_seconds(time - started_at) + "  " + text + "\n");
   };
   for (const RequestRecord& request : observations.requests) {
     if (request.id != request_id) continue;
     add(request.connected_at, std::string("client connected") +
-                                  (request.is_on_new_connection ? ", this is its first request" : ""));
+                                  (request.is_on_new_connection ? ", first request on the connection" : ""));
     if (request.sent_at > 0) {
       add(request.sent_at,
-          "sent, class " + request.request_class + ", timeout " + seconds_text(request.timeout));
+          "request sent, class " + request.request_class + ", timeout " + format_seconds(request.timeout));
     }
     if (request.ended_at > 0) {
-      add(request.ended_at,
-          name_of(request.end) + (request.status > 0 ? " " + std::to_string(request.status) : std::string()));
+      add(request.ended_at, description(request.outcome) +
+                                (request.status > 0 ? " " + std::to_string(request.status) : std::string()));
     }
   }
   for (const AttemptRecord& attempt : observations.attempts) {
     if (attempt.request_id != request_id) continue;
     add(attempt.began_at, "first byte at endpoint " + attempt.endpoint);
-    add(attempt.head_at,
-        "head at endpoint " + attempt.endpoint + ", timeout " + std::to_string(attempt.timeout_ms) + " ms" +
-            (attempt.is_complete ? "" : ", never complete") + (attempt.is_rejected ? ", rejected" : ""));
+    add(attempt.head_at, "request head at endpoint " + attempt.endpoint + ", timeout " +
+                             std::to_string(attempt.timeout_ms) + " ms" +
+                             (attempt.is_complete ? "" : ", request not complete") +
+                             (attempt.is_rejected ? ", rejected" : ""));
   }
   std::string text;
   for (const auto& [time, line] : events) text += "    " + line;
   return text;
 }
 
-std::size_t count_crossings(const Observations& observations) {
+std::size_t count_requests_not_read_at_close(const Observations& observations) {
   return static_cast<std::size_t>(
       std::ranges::count_if(observations.requests, [](const RequestRecord& request) {
-        return request.end == RequestEnd::kReset && !request.is_on_new_connection;
+        return request.outcome == RequestOutcome::kReset && !request.is_on_new_connection;
       }));
 }
 
--- a/tests/soak/rules.h
+++ b/tests/soak/rules.h
@@ -1,10 +1,11 @@
-// The operators' rules, checked against what a soak run has observed.
+// The operators' rules for a node, checked against the observations of a soak run.
 #pragma once
 
 #include <cstddef>
 #include <string>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "soak/observations.h"
 #include "soak/script.h"
 
@@ -12,16 +13,19 @@
 
 struct Violation {
   std::string rule;
-  std::string request_id;  // empty: of a process or a connection
+  std::string request_id;  // empty: the rule concerns a process or a connection
   std::string details;
 };
 
 std::vector<Violation> check_rules(const Script& script, const Observations& observations);
 
-// What happened to a request, a line an event, in the order of time; times are relative to the start.
-std::string history_of(const std::string& request_id, const Observations& observations, double started_at);
+// The events of a request in the order of time, one line for each event. The times are relative to
+// started_at.
+std::string request_history(const std::string& request_id, const Observations& observations,
+                            Seconds started_at);
 
-// How many requests crossed the end of a connection between two requests, which the protocol allows.
-std::size_t count_crossings(const Observations& observations);
+// The number of requests that arrived on a keep-alive connection while the node was closing the connection.
+// The protocol allows a node to close a connection between two requests.
+std::size_t count_requests_not_read_at_close(const Observations& observations);
 
 }  // namespace asterdrift::soak
--- a/tests/soak/script.h
+++ b/tests/soak/script.h
@@ -1,48 +1,59 @@
-// What happens in one run of the soak test, drawn from its seed.
+// The script of a soak run: the processes, peers, signals and faults, drawn at random from a seed.
 #pragma once
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::soak {
 
-// s that a request may take at most: the longest deadline of the settings.
-constexpr double kMaxRequestTimeout = 2;
-// s after the first SIGTERM at which the operators send SIGKILL at the earliest.
-constexpr double kKillDelay = kMaxRequestTimeout + 0.7;
+// The longest timeout of a request, which is also the longest deadline in the node's settings.
+constexpr Seconds kMaxRequestTimeout = 2;
+// The shortest time after the first SIGTERM after which the operators send SIGKILL.
+constexpr Seconds kSigkillDelay = kMaxRequestTimeout + 0.7;
 
 // A signal to one of the processes of the node.
 struct SignalStep {
   enum class Target { kFirst, kSuccessor };
 
-  double at = 0;  // s from the start of the run
+  Seconds at = 0;  // after the start of the run
   int signal_number = 0;
   Target target = Target::kFirst;
 };
 
 // A change of the endpoint list, or a fault of discovery.
 struct DiscoveryStep {
-  enum class Kind { kDrain, kRemove, kStartEndpoint, kSilence, kTruncate, kStop, kReturn };
+  enum class Kind {
+    kDrain,
+    kRemove,
+    kAddEndpoint,
+    kSilenceWatches,
+    kTruncateWatches,
+    kStopListening,
+    kResumeListening
+  };
 
-  double at = 0;  // s from the start of the run
-  Kind kind = Kind::kSilence;
-  std::size_t endpoint = 0;
+  Seconds at = 0;  // after the start of the run
+  Kind kind = Kind::kSilenceWatches;
+  std::size_t endpoint = 0;  // index of the endpoint for kDrain and kRemove
 };
 
+// All times are relative to the start of the run, except connect_time_after_sigterm.
 struct Script {
   explicit Script(std::uint64_t seed);
 
   std::uint64_t seed;
-  bool has_crowd = false;
-  bool has_successor = false;
+  bool has_connection_flood = false;  // additional clients open more connections than the node accepts
+  bool has_successor = false;         // a second process replaces the first one
   std::size_t clients = 0;
   std::size_t endpoints = 0;  // at the start
   int max_sockets = 0;
-  double successor_at = 0;         // s from the start of the run
-  double terminate_at = 0;         // the first SIGTERM to the first process
-  double new_connections_for = 0;  // s after the last process had its first SIGTERM
-  double end_at = 0;               // the last SIGKILL
+  Seconds successor_starts_at = 0;
+  Seconds sigterm_at = 0;                  // the first SIGTERM to the first process
+  Seconds connect_time_after_sigterm = 0;  // how long clients connect after each process has had a SIGTERM
+  Seconds end_at = 0;                      // the last SIGKILL
   std::vector<SignalStep> signals;
   std::vector<DiscoveryStep> discovery_steps;
 };
--- a/tests/soak/script_random.h
+++ b/tests/soak/script_random.h
@@ -1,4 +1,4 @@
-// Random numbers of a soak run: the same seed and subject give the same numbers.
+// Random numbers of a soak run: the same seed and stream result in the same numbers.
 #pragma once
 
 #include <cstddef>
@@ -9,9 +9,9 @@
 
 class ScriptRandom {
  public:
-  // subject: distinguishes the parts of one run, such as its clients.
-  ScriptRandom(std::uint64_t seed, std::uint64_t subject) {
-    std::seed_seq sequence{seed, seed >> 32U, subject, subject >> 32U};
+  // stream: selects an independent sequence of random numbers for a part of the run, such as one client.
+  ScriptRandom(std::uint64_t seed, std::uint64_t stream) {
+    std::seed_seq sequence{seed, seed >> 32U, stream, stream >> 32U};
     generator_.seed(sequence);
   }
 
--- a/tests/soak/scripted_client.h
+++ b/tests/soak/scripted_client.h
@@ -1,48 +1,56 @@
-// Clients of a soak run: those that send requests, and a crowd that takes up connections.
+// Clients of a soak run: clients that send requests, and a flood of connections without requests.
 #pragma once
 
 #include <atomic>
 #include <cstdint>
 #include <string>
 
+#include "asterdrift/seconds.h"
 #include "soak/observations.h"
 #include "soak/peer_connection.h"
 #include "soak/script_random.h"
 
 namespace asterdrift::soak {
 
-// What all clients of a run share.
+// State that all clients of a run share.
 struct ClientControl {
   bool should_stop() const { return is_stopped; }
   bool may_connect() const;
 
   int port = 0;
   std::atomic<bool> is_stopped = false;
-  std::atomic<double> connects_until = 1e300;  // on the steady clock
+  std::atomic<Seconds> connects_until = 1e300;  // on the steady clock
 };
 
-// Sends one request after the other, on keep-alive and on new connections, and uses an open connection for as
-// long as it stays open.
+// Sends one request after the other, on keep-alive connections and on new ones. Connections that are open
+// when no new connection may be opened stay in use.
 class ScriptedClient {
  public:
   // control and observations have to outlive the client.
   ScriptedClient(std::uint64_t seed, std::size_t number, ClientControl& control, Observations& observations);
 
-  // Returns once the run has stopped, or no connection may be opened any more.
+  // Returns when the run has ended, or when the client needs a new connection and may not open one.
   void run();
 
  private:
-  enum class Kind { kPlain, kUpload, kPipelined, kLeaves, kLeavesInsideRequest };
+  // What the client does with a request.
+  enum class Kind {
+    kPlain,
+    kUpload,                 // a request with a large body
+    kPipelined,              // two requests at once
+    kDepartsBeforeResponse,  // the client closes the connection after the request
+    kDepartsInsideRequest    // the client closes the connection within the request
+  };
 
   bool connect();
   void use_connection();
   bool exchange(Kind kind);
   RequestRecord next_request();
-  std::string text_of(const RequestRecord& request, const std::string& body) const;
+  std::string to_text(const RequestRecord& request, const std::string& body) const;
   bool send(RequestRecord& request, const std::string& text, Kind kind);
-  void leave(RequestRecord& request);
+  void depart(RequestRecord& request);
   bool await_response(RequestRecord& request);
-  void pause(double seconds) const;
+  void pause(Seconds duration) const;
   Kind draw_kind();
 
   const std::string name_;
@@ -50,11 +58,12 @@
   ClientControl& control_;
   Observations& observations_;
   PeerConnection connection_;
-  bool is_new_ = false;  // nothing has been sent on the connection
+  bool is_unused_ = false;  // nothing has been sent on connection_
   int requests_ = 0;
 };
 
-// Opens many connections at once, again and again, that are silent, stay inside a request, or idle.
-void run_crowd(std::uint64_t seed, ClientControl& control);
+// Repeatedly opens many connections at the same time. One third of them send nothing, one third send an
+// incomplete request, and one third are idle after a complete request.
+void flood_connections(std::uint64_t seed, ClientControl& control);
 
 }  // namespace asterdrift::soak
--- a/tests/soak/scripted_discovery.cpp
+++ b/tests/soak/scripted_discovery.cpp
@@ -13,8 +13,8 @@
 using test_support::chunk;
 using test_support::steady_seconds;
 
-constexpr std::chrono::milliseconds kPollPeriod{5};
-constexpr double kSignOfLifePeriod = 1;  // s between empty lines
+constexpr std::chrono::milliseconds kPollInterval{5};
+constexpr Seconds kEmptyLineInterval = 1;
 
 }  // namespace
 
@@ -68,7 +68,7 @@
 
 void ScriptedDiscovery::accept_watches() {
   while (!threads_.should_stop()) {
-    std::this_thread::sleep_for(kPollPeriod);
+    std::this_thread::sleep_for(kPollInterval);
     const std::lock_guard lock(mutex_);
     if (!is_listening_ || listener_.is_idle()) continue;
     const auto watch = std::make_shared<Watch>();
@@ -80,7 +80,7 @@
 
 void ScriptedDiscovery::serve(Watch& watch) {
   if (!read_request(watch) || !watch.connection.send(test_support::kChunkedResponseHead)) return;
-  while (!threads_.should_stop() && advance(watch)) std::this_thread::sleep_for(kPollPeriod);
+  while (!threads_.should_stop() && advance(watch)) std::this_thread::sleep_for(kPollInterval);
   watch.connection.close();
 }
 
@@ -91,7 +91,7 @@
   return true;
 }
 
-// Sends what is due. Returns whether the watch stays open.
+// Sends the next list or empty line if one is due. Returns whether the watch stays open.
 bool ScriptedDiscovery::advance(Watch& watch) {
   const std::lock_guard lock(mutex_);
   if (watch.connection.has_ended() || stopped_at_ > watch.opened_at) return false;
@@ -102,7 +102,7 @@
   }
   if (watch.sent_version < version_) {
     send_list(watch);
-  } else if (steady_seconds() - watch.sent_at > kSignOfLifePeriod) {
+  } else if (steady_seconds() - watch.sent_at > kEmptyLineInterval) {
     watch.connection.send(chunk("\n"));
     watch.sent_at = steady_seconds();
   }
--- a/tests/soak/scripted_discovery.h
+++ b/tests/soak/scripted_discovery.h
@@ -1,4 +1,4 @@
-// Discovery in a soak run: watches that carry endpoint lists, and the faults of the script.
+// Discovery in a soak run: sends endpoint lists on watches, and has the faults of the script.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +8,7 @@
 #include <set>
 #include <string>
 
+#include "asterdrift/seconds.h"
 #include "soak/observations.h"
 #include "soak/peer_connection.h"
 #include "soak/peer_threads.h"
@@ -17,7 +18,7 @@
 
 class ScriptedDiscovery {
  public:
-  // observations has to outlive it.
+  // observations has to outlive this object.
   explicit ScriptedDiscovery(Observations& observations);
   ~ScriptedDiscovery() { threads_.stop(); }
   ScriptedDiscovery(const ScriptedDiscovery&) = delete;
@@ -28,10 +29,11 @@
   void add_endpoint(const std::string& name, int port);
   void drain_endpoint(const std::string& name);
   void remove_endpoint(const std::string& name);
-  // The watches that are open now bring nothing more, or end inside a line. New ones work.
+  // Sends nothing more on the watches that are open now. Later watches are not affected.
   void silence_watches();
+  // Ends the watches that are open now within a list. Later watches are not affected.
   void truncate_watches();
-  // Refuses connections and ends all watches, until it returns.
+  // Ends all watches, and refuses connections until resume_listening().
   void stop_listening();
   void resume_listening();
   void stop() { threads_.stop(); }
@@ -41,12 +43,12 @@
     int port = 0;
     bool is_draining = false;
   };
-  // One connection of the node.
+  // A watch of the node, on a connection of its own.
   struct Watch {
     PeerConnection connection;
     std::uint64_t sent_version = 0;
-    double opened_at = 0, sent_at = 0;
-    std::set<std::string> notified;  // endpoints that drain or have gone, as this watch has sent
+    Seconds opened_at = 0, sent_at = 0;
+    std::set<std::string> notified;  // endpoints that this watch has reported as draining or removed
   };
 
   void accept_watches();
@@ -57,13 +59,13 @@
   void change(const std::string& name, bool is_draining);
 
   Observations& observations_;
-  std::mutex mutex_;  // for all below except the threads
+  std::mutex mutex_;  // protects all following members except threads_
   test_support::ListeningSocket listener_;
   bool is_listening_ = true;
   std::map<std::string, ListedEndpoint> endpoints_;
-  std::set<std::string> unavailable_;  // endpoints that drain or have gone
+  std::set<std::string> unavailable_;  // endpoints that drain or have been removed
   std::uint64_t version_ = 1;
-  double silenced_at_ = 0, truncated_at_ = 0, stopped_at_ = 0;
+  Seconds silenced_at_ = 0, truncated_at_ = 0, stopped_at_ = 0;
   PeerThreads threads_;
 };
 
--- a/tests/soak/scripted_endpoint.cpp
+++ b/tests/soak/scripted_endpoint.cpp
@@ -17,11 +17,11 @@
 using test_support::with_content_length;
 
 constexpr int kBacklog = 512;
-constexpr std::uint64_t kEndpointSubject = 1000;
-constexpr std::chrono::milliseconds kPollPeriod{5};
-constexpr double kHangTime = 3;                                     // s
-constexpr std::size_t kLongBodyPieces = 8, kLongBodyPiece = 32768;  // bytes
-constexpr double kLongBodyPause = 0.03;                             // s between pieces
+constexpr std::uint64_t kEndpointStream = 1000;
+constexpr std::chrono::milliseconds kPollInterval{5};
+constexpr Seconds kHangTime = 3;
+constexpr std::size_t kLargeBodyPieces = 8, kLargeBodyPieceBytes = 32768;
+constexpr Seconds kLargeBodyPieceInterval = 0.03;
 
 }  // namespace
 
@@ -32,11 +32,11 @@
 
 void ScriptedEndpoint::accept_connections() {
   for (std::uint64_t connections = 0; !threads_.should_stop();) {
-    if (listener_.is_idle(kPollPeriod)) continue;
+    if (listener_.is_idle(kPollInterval)) continue;
     const auto connection = std::make_shared<PeerConnection>(listener_.accept().release());
-    const std::uint64_t subject = kEndpointSubject + connections++;
-    threads_.start([this, connection, subject] {
-      ScriptRandom random(seed_ + std::hash<std::string>()(name_), subject);
+    const std::uint64_t stream = kEndpointStream + connections++;
+    threads_.start([this, connection, stream] {
+      ScriptRandom random(seed_ + std::hash<std::string>()(name_), stream);
       serve(*connection, random);
       connection->close();
     });
@@ -48,7 +48,7 @@
   }
 }
 
-// Returns whether the connection can be used again.
+// Reads a request and responds to it, or fails. Returns whether the connection can be used again.
 bool ScriptedEndpoint::serve_request(PeerConnection& connection, ScriptRandom& random) {
   Request request;
   if (!read_head(connection, request)) return false;
@@ -80,10 +80,10 @@
   }
   request.head_size = received.find(kHeadEnd) + kHeadEnd.size();
   const std::string head = received.substr(0, request.head_size);
-  request.body_size = number_field(head, "Content-Length");
+  request.body_size = numeric_header_field(head, "Content-Length");
   request.attempt.endpoint = name_;
-  request.attempt.request_id = text_field(head, "Request-Id");
-  request.attempt.timeout_ms = static_cast<std::int64_t>(number_field(head, "Request-Timeout-Ms"));
+  request.attempt.request_id = header_field(head, "Request-Id");
+  request.attempt.timeout_ms = static_cast<std::int64_t>(numeric_header_field(head, "Request-Timeout-Ms"));
   request.attempt.head_at = connection.received_at();
   return true;
 }
@@ -97,11 +97,11 @@
   return true;
 }
 
-// Returns whether the connection can be used again.
+// Responds as `behaviour` says. Returns whether the connection can be used again.
 bool ScriptedEndpoint::respond(PeerConnection& connection, Behaviour behaviour, ScriptRandom& random) const {
   switch (behaviour) {
     case Behaviour::kRespond:
-    case Behaviour::kResetInsideBody:  // the request had no body, or it was there already
+    case Behaviour::kResetInsideBody:  // the request had no body, or the body had arrived with the head
       return pause(connection, random.between(0, 0.01)) &&
              connection.send(with_content_length("HTTP/1.1 200 OK\r\n", "answer"));
     case Behaviour::kRespondLate:
@@ -120,21 +120,21 @@
     case Behaviour::kRespondAndClose:
       connection.send(with_content_length("HTTP/1.1 200 OK\r\nConnection: close\r\n", "last answer"));
       return false;
-    case Behaviour::kRespondSlowlyAtLength:
+    case Behaviour::kRespondWithSlowLargeBody:
       connection.send("HTTP/1.1 200 OK\r\nContent-Length: " +
-                      std::to_string(kLongBodyPieces * kLongBodyPiece) + "\r\n\r\n");
-      for (std::size_t i = 0; i < kLongBodyPieces; ++i) {
-        if (!pause(connection, kLongBodyPause)) return false;
-        if (!connection.send(std::string(kLongBodyPiece, 'x'))) return false;
+                      std::to_string(kLargeBodyPieces * kLargeBodyPieceBytes) + "\r\n\r\n");
+      for (std::size_t i = 0; i < kLargeBodyPieces; ++i) {
+        if (!pause(connection, kLargeBodyPieceInterval)) return false;
+        if (!connection.send(std::string(kLargeBodyPieceBytes, 'x'))) return false;
       }
       return true;
   }
   return false;
 }
 
-// Returns whether the connection is still open after that time.
-bool ScriptedEndpoint::pause(const PeerConnection& connection, double seconds) const {
-  const double end = steady_seconds() + seconds;
+// Returns whether the connection is still open after the pause.
+bool ScriptedEndpoint::pause(const PeerConnection& connection, Seconds duration) const {
+  const Seconds end = steady_seconds() + duration;
   while (steady_seconds() < end) {
     if (threads_.should_stop() || connection.has_ended()) return false;
     std::this_thread::sleep_for(std::chrono::duration<double>(std::min(0.005, end - steady_seconds())));
@@ -143,22 +143,23 @@
 }
 
 ScriptedEndpoint::Behaviour ScriptedEndpoint::draw_behaviour(ScriptRandom& random) {
-  struct Share {
+  struct BehaviourProbability {
     double probability;
     Behaviour behaviour;
   };
-  constexpr std::array kShares = {Share{0.15, Behaviour::kRespondLate},
-                                  Share{0.02, Behaviour::kHang},
-                                  Share{0.03, Behaviour::kResetInsideBody},
-                                  Share{0.03, Behaviour::kResetAfterRequest},
-                                  Share{0.04, Behaviour::kFail},
-                                  Share{0.05, Behaviour::kReject},
-                                  Share{0.04, Behaviour::kRespondAndClose},
-                                  Share{0.02, Behaviour::kRespondSlowlyAtLength}};
+  constexpr std::array kBehaviourProbabilities = {
+      BehaviourProbability{0.15, Behaviour::kRespondLate},
+      BehaviourProbability{0.02, Behaviour::kHang},
+      BehaviourProbability{0.03, Behaviour::kResetInsideBody},
+      BehaviourProbability{0.03, Behaviour::kResetAfterRequest},
+      BehaviourProbability{0.04, Behaviour::kFail},
+      BehaviourProbability{0.05, Behaviour::kReject},
+      BehaviourProbability{0.04, Behaviour::kRespondAndClose},
+      BehaviourProbability{0.02, Behaviour::kRespondWithSlowLargeBody}};
   double draw = random.unit();
-  for (const Share& share : kShares) {
-    if (draw < share.probability) return share.behaviour;
-    draw -= share.probability;
+  for (const BehaviourProbability& candidate : kBehaviourProbabilities) {
+    if (draw < candidate.probability) return candidate.behaviour;
+    draw -= candidate.probability;
   }
   return Behaviour::kRespond;
 }
--- a/tests/soak/scripted_endpoint.h
+++ b/tests/soak/scripted_endpoint.h
@@ -1,9 +1,10 @@
-// An endpoint of a soak run, which serves most requests and fails some of them in every way.
+// An endpoint of a soak run. Serves most requests, and fails some requests, each in one of several ways.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
+#include "asterdrift/seconds.h"
 #include "soak/observations.h"
 #include "soak/peer_connection.h"
 #include "soak/peer_threads.h"
@@ -29,10 +30,10 @@
     kHang,
     kResetInsideBody,
     kResetAfterRequest,
-    kFail,                  // 500
-    kReject,                // 503: not started
-    kRespondAndClose,       // Connection: close
-    kRespondSlowlyAtLength  // a large body in pieces
+    kFail,                     // with status 500
+    kReject,                   // with status 503 and Not-Started
+    kRespondAndClose,          // with "Connection: close"
+    kRespondWithSlowLargeBody  // in pieces, with pauses
   };
   struct Request {
     AttemptRecord attempt;
@@ -46,7 +47,7 @@
   bool read_head(PeerConnection& connection, Request& request) const;
   bool read_body(PeerConnection& connection, const Request& request) const;
   bool respond(PeerConnection& connection, Behaviour behaviour, ScriptRandom& random) const;
-  bool pause(const PeerConnection& connection, double seconds) const;
+  bool pause(const PeerConnection& connection, Seconds duration) const;
   static Behaviour draw_behaviour(ScriptRandom& random);
 
   const std::string name_;
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -17,16 +17,16 @@
 using node::testing::NodeTestConfig;
 using test_support::steady_seconds;
 
-constexpr std::chrono::microseconds kStepPeriod{200};
-constexpr double kResourceCheckPeriod = 0.05;  // s
+constexpr std::chrono::microseconds kStepInterval{200};
+constexpr Seconds kResourceCheckInterval = 0.05;
 constexpr int kMemoryMb = 64;
 #ifndef __SANITIZE_ADDRESS__
 constexpr long kMaxPeakMemoryKb = kMemoryMb * 1024L;
 #else
-constexpr long kMaxPeakMemoryKb = std::numeric_limits<long>::max();  // the sanitizers use memory of their own
+constexpr long kMaxPeakMemoryKb = std::numeric_limits<long>::max();  // sanitizers use additional memory
 #endif
 
-// How many sockets a process has open.
+// The number of sockets that a process has open.
 std::size_t open_sockets(const NodeProcess& process) {
   std::size_t count = 0;
   std::error_code error;
@@ -37,7 +37,7 @@
   return count;
 }
 
-// 0 once the process has ended.
+// The peak memory of a process; 0 if the process has ended.
 long peak_memory_kb(const NodeProcess& process) {
   try {
     return process.peak_memory_kb();
@@ -58,7 +58,7 @@
   control_.port = port_.port();
 }
 
-std::vector<Violation> SoakRun::play() {
+std::vector<Violation> SoakRun::run() {
   const node::testing::NodeProcessOptions options{.environment = {{"TMPDIR", folder_.path()}}};
   for (std::size_t i = 0; i < script_.endpoints; ++i) add_endpoint();
   first_.process = std::make_unique<NodeProcess>(config_.to_json(), options);
@@ -66,13 +66,13 @@
   started_at_ = steady_seconds();
   start_peers();
   while (steady_seconds() < started_at_ + script_.end_at + 1 && !(first_.has_ended && successor_.has_ended)) {
-    const bool is_due = steady_seconds() >= started_at_ + script_.successor_at;
+    const bool is_due = steady_seconds() >= started_at_ + script_.successor_starts_at;
     if (script_.has_successor && !successor_.process && is_due) {
       successor_.process = std::make_unique<NodeProcess>(config_.to_json(), options);
     }
     successor_.has_ended = successor_.has_ended || !script_.has_successor;
     advance();
-    std::this_thread::sleep_for(kStepPeriod);
+    std::this_thread::sleep_for(kStepInterval);
   }
   control_.is_stopped = true;
   threads_.stop();
@@ -86,36 +86,36 @@
     clients_.push_back(std::make_unique<ScriptedClient>(script_.seed, i, control_, observations_));
     threads_.start([client = clients_.back().get()] { client->run(); });
   }
-  if (script_.has_crowd) threads_.start([this] { run_crowd(script_.seed, control_); });
+  if (script_.has_connection_flood) threads_.start([this] { flood_connections(script_.seed, control_); });
 }
 
 void SoakRun::advance() {
-  const double elapsed = steady_seconds() - started_at_;
+  const Seconds elapsed = steady_seconds() - started_at_;
   send_signals(elapsed);
   change_discovery(elapsed);
   check_resources();
-  kill_overdue();
+  kill_overdue_processes();
 }
 
-SoakRun::Process& SoakRun::process_of(SignalStep::Target target) {
+SoakRun::Process& SoakRun::target_process(SignalStep::Target target) {
   return target == SignalStep::Target::kFirst ? first_ : successor_;
 }
 
-void SoakRun::send_signals(double elapsed) {
+void SoakRun::send_signals(Seconds elapsed) {
   for (; next_signal_ < script_.signals.size() && script_.signals[next_signal_].at <= elapsed;
        ++next_signal_) {
     const SignalStep& step = script_.signals[next_signal_];
-    Process& target = process_of(step.target);
+    Process& target = target_process(step.target);
     if (!target.process || target.has_ended) continue;
     target.process->signal(step.signal_number);
-    if (step.signal_number != SIGTERM || target.terminated_at > 0) continue;
-    target.terminated_at = steady_seconds();
-    const bool is_last = first_.terminated_at > 0 && (!script_.has_successor || successor_.terminated_at > 0);
-    if (is_last) control_.connects_until = steady_seconds() + script_.new_connections_for;
+    if (step.signal_number != SIGTERM || target.sigterm_at > 0) continue;
+    target.sigterm_at = steady_seconds();
+    const bool is_last = first_.sigterm_at > 0 && (!script_.has_successor || successor_.sigterm_at > 0);
+    if (is_last) control_.connects_until = steady_seconds() + script_.connect_time_after_sigterm;
   }
 }
 
-void SoakRun::change_discovery(double elapsed) {
+void SoakRun::change_discovery(Seconds elapsed) {
   using Kind = DiscoveryStep::Kind;
   const std::vector<DiscoveryStep>& steps = script_.discovery_steps;
   for (; next_discovery_step_ < steps.size() && steps[next_discovery_step_].at <= elapsed;
@@ -128,19 +128,19 @@
       case Kind::kRemove:
         discovery_.remove_endpoint(endpoints_[step.endpoint]->name());
         break;
-      case Kind::kStartEndpoint:
+      case Kind::kAddEndpoint:
         add_endpoint();
         break;
-      case Kind::kSilence:
+      case Kind::kSilenceWatches:
         discovery_.silence_watches();
         break;
-      case Kind::kTruncate:
+      case Kind::kTruncateWatches:
         discovery_.truncate_watches();
         break;
-      case Kind::kStop:
+      case Kind::kStopListening:
         discovery_.stop_listening();
         break;
-      case Kind::kReturn:
+      case Kind::kResumeListening:
         discovery_.resume_listening();
         break;
     }
@@ -153,15 +153,17 @@
   discovery_.add_endpoint(endpoints_.back()->name(), endpoints_.back()->port());
 }
 
-void SoakRun::kill_overdue() {
+void SoakRun::kill_overdue_processes() {
   for (Process* process : {&first_, &successor_}) {
-    const bool is_due = process->terminated_at > 0 && steady_seconds() >= process->terminated_at + kKillDelay;
+    const bool is_due = process->sigterm_at > 0 && steady_seconds() >= process->sigterm_at + kSigkillDelay;
     if (process->has_ended || !is_due) continue;
-    check_exit(*process);
+    kill_and_check(*process);
   }
 }
 
-void SoakRun::check_exit(Process& process) {
+// Sends SIGKILL, which has no effect on a process that has drained and exited, and checks the exit code and
+// the peak memory.
+void SoakRun::kill_and_check(Process& process) {
   const long peak_kb = process.peak_memory_kb;
   process.process->signal(SIGKILL);
   const int exit_code = process.process->wait_for_exit();
@@ -170,12 +172,12 @@
   if (exit_code != 0)
     process_violations_.push_back({"exit code", "", name + ": " + std::to_string(exit_code)});
   if (peak_kb > kMaxPeakMemoryKb) {
-    process_violations_.push_back({"memory", "", name + ": " + std::to_string(peak_kb) + " KB"});
+    process_violations_.push_back({"peak memory", "", name + ": " + std::to_string(peak_kb) + " KB"});
   }
 }
 
 void SoakRun::check_resources() {
-  if (steady_seconds() - resources_checked_at_ < kResourceCheckPeriod) return;
+  if (steady_seconds() - resources_checked_at_ < kResourceCheckInterval) return;
   resources_checked_at_ = steady_seconds();
   std::size_t sockets = 0;
   for (Process* process : {&first_, &successor_}) {
@@ -184,7 +186,8 @@
     process->peak_memory_kb = std::max(process->peak_memory_kb, peak_memory_kb(*process->process));
   }
   if (sockets > static_cast<std::size_t>(script_.max_sockets)) {
-    process_violations_.push_back({"descriptors", "", std::to_string(sockets) + " sockets"});
+    process_violations_.push_back(
+        {"open sockets", "", std::to_string(sockets) + " of at most " + std::to_string(script_.max_sockets)});
   }
 }
 
@@ -193,7 +196,8 @@
   out << to_text(script_);
   for (const Violation& violation : violations) {
     out << "  " << violation.rule << ": " << violation.request_id << " " << violation.details << "\n";
-    if (!violation.request_id.empty()) out << history_of(violation.request_id, observations_, started_at_);
+    if (!violation.request_id.empty())
+      out << request_history(violation.request_id, observations_, started_at_);
   }
   return out.str();
 }
@@ -208,9 +212,9 @@
   std::ostringstream out;
   out << "seed " << script_.seed << ": " << observations_.requests.size() << " requests, " << completed
       << " completed, " << rejected << " rejected, " << failed << " ended otherwise, "
-      << observations_.attempts.size() << " attempts, " << count_crossings(observations_)
-      << " crossed the end of a connection, " << observations_.unused_connections.size()
-      << " connections closed unused";
+      << observations_.attempts.size() << " attempts, " << count_requests_not_read_at_close(observations_)
+      << " requests not read before the node closed the connection, "
+      << observations_.unused_connections.size() << " connections closed before their first request";
   return out.str();
 }
 
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,4 +1,4 @@
-// One run of the soak test: a node, its peers, and the script of a seed.
+// One run of the soak test: plays the script of a seed with a node, clients, endpoints and discovery.
 #pragma once
 
 #include <list>
@@ -7,6 +7,7 @@
 #include <thread>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "soak/observations.h"
 #include "soak/peer_threads.h"
 #include "soak/rules.h"
@@ -22,31 +23,31 @@
  public:
   explicit SoakRun(std::uint64_t seed);
 
-  // Plays the script, and returns the rules that were broken. Once.
-  std::vector<Violation> play();
+  // Plays the script, and returns the violations of the rules. May be called once.
+  std::vector<Violation> run();
 
-  // The script, the violations, and the events of their requests in order.
+  // The script, the violations, and the history of each request that violates a rule.
   std::string report(const std::vector<Violation>& violations) const;
-  // Counts of the run, in one line.
+  // The counts of requests, attempts and closed connections, in one line.
   std::string summary() const;
 
  private:
-  // One process of the node, until it has ended.
+  // A process of the node, and what is known of it.
   struct Process {
     std::unique_ptr<node::testing::NodeProcess> process;
-    double terminated_at = 0;  // the first SIGTERM; 0: none yet
+    Seconds sigterm_at = 0;  // when the first SIGTERM was sent; 0: not sent yet
     long peak_memory_kb = 0;
     bool has_ended = false;
   };
 
   void start_peers();
   void advance();
-  void send_signals(double elapsed);
-  void change_discovery(double elapsed);
-  void kill_overdue();
+  void send_signals(Seconds elapsed);
+  void change_discovery(Seconds elapsed);
+  void kill_overdue_processes();
   void check_resources();
-  void check_exit(Process& process);
-  Process& process_of(SignalStep::Target target);
+  void kill_and_check(Process& process);
+  Process& target_process(SignalStep::Target target);
   void add_endpoint();
 
   const Script script_;
@@ -59,7 +60,7 @@
   ClientControl control_;
   std::vector<std::unique_ptr<ScriptedClient>> clients_;
   Process first_, successor_;
-  double started_at_ = 0, resources_checked_at_ = 0;
+  Seconds started_at_ = 0, resources_checked_at_ = 0;
   std::size_t next_signal_ = 0, next_discovery_step_ = 0;
   std::vector<Violation> process_violations_;
   PeerThreads threads_;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -1,4 +1,5 @@
-// The node among scripted peers and signals, a run for each seed. SOAK_SEED=N runs one seed, of any number.
+// Soak test: runs the node with clients, endpoints, discovery and signals that follow a random script, one
+// run for each seed. The environment variable SOAK_SEED=N selects a single run with any seed.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -10,23 +11,23 @@
 namespace asterdrift::soak {
 namespace {
 
-constexpr std::uint64_t kSeedsInCi = 12;
+constexpr std::uint64_t kCiSeeds = 12;
 
 std::vector<std::uint64_t> seeds() {
   if (const char* seed = std::getenv("SOAK_SEED")) return {std::strtoull(seed, nullptr, 10)};
   std::vector<std::uint64_t> all;
-  for (std::uint64_t seed = 1; seed <= kSeedsInCi; ++seed) all.push_back(seed);
+  for (std::uint64_t seed = 1; seed <= kCiSeeds; ++seed) all.push_back(seed);
   return all;
 }
 
 class Soak : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Soak, KeepsTheRules) {
-  SoakRun run(GetParam());
-  const std::vector<Violation> violations = run.play();
-  std::cout << run.summary() << "\n";
+TEST_P(Soak, NodeFollowsOperatorsRules) {
+  SoakRun soak_run(GetParam());
+  const std::vector<Violation> violations = soak_run.run();
+  std::cout << soak_run.summary() << "\n";
   EXPECT_TRUE(violations.empty()) << "SOAK_SEED=" << GetParam() << " build-test/tests/soak_tests\n"
-                                  << run.report(violations);
+                                  << soak_run.report(violations);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Soak, ::testing::ValuesIn(seeds()), ::testing::PrintToStringParamName());
