--- a/tests/soak/rules.cpp
+++ b/tests/soak/rules.cpp
@@ -10,11 +10,15 @@
 namespace asterdrift::soak {
 namespace {
 
-// Tolerances of the operators' rules.
-constexpr Seconds kMaxResponseLateness = 0.5;  // of a response, after the request's timeout
-constexpr Seconds kMaxAttemptLateness = 0.1;   // of the first byte of an attempt, after the client departed
-constexpr Seconds kMaxTimeoutExcess = 0.15;    // of the timeout that the node forwards to an endpoint
-constexpr Seconds kMaxDrainLateness = 0.35;  // of the first byte of an attempt, after notification of a drain
+// The operators' rules allow these delays and this excess:
+// A response may arrive this long after the request's timeout.
+constexpr Seconds kMaxResponseLateness = 0.5;
+// An attempt may begin this long after the client has closed its connection.
+constexpr Seconds kMaxAttemptLateness = 0.1;
+// The timeout that the node forwards to an endpoint may exceed the client's remaining time by this much.
+constexpr Seconds kMaxTimeoutExcess = 0.15;
+// An attempt may begin this long after the node has been notified that the endpoint drains.
+constexpr Seconds kMaxDrainLateness = 0.35;
 // Responses of this size or more are streamed, and have no time limit.
 constexpr std::size_t kMinStreamedBytes = 65536;
 // The node must not close a new connection on which nothing has been sent before the connection has this age.
--- a/tests/soak/script.cpp
+++ b/tests/soak/script.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::uint64_t kScriptStream = 1;
-constexpr int kManySockets = 600, kFewSockets = 100;
+constexpr int kMaxSockets = 600, kMaxSocketsWithFlood = 100;
 constexpr Seconds kMinTimeBeforeSigterm = 2.2;  // from the start to the first SIGTERM
 
 const char* description(DiscoveryStep::Kind kind) {
@@ -73,7 +73,7 @@
   has_successor = seed % 3 == 2;
   clients = 12 + random.below(21);
   endpoints = 3 + random.below(3);
-  max_sockets = has_connection_flood ? kFewSockets : kManySockets;
+  max_sockets = has_connection_flood ? kMaxSocketsWithFlood : kMaxSockets;
   connect_time_after_sigterm = random.between(0.2, 0.4);
   sigterm_at = kMinTimeBeforeSigterm + random.between(0, 1);
   Seconds last_sigterm_at = sigterm_at;
--- a/tests/soak/scripted_discovery.h
+++ b/tests/soak/scripted_discovery.h
@@ -1,4 +1,4 @@
-// Discovery in a soak run: sends endpoint lists on watches, and has the faults of the script.
+// Discovery in a soak run: sends endpoint lists on watches, and produces the faults of the script.
 #pragma once
 
 #include <cstdint>
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -32,7 +32,7 @@
   std::string summary() const;
 
  private:
-  // A process of the node, and what is known of it.
+  // A process of the node, and its state in the run.
   struct Process {
     std::unique_ptr<node::testing::NodeProcess> process;
     Seconds sigterm_at = 0;  // when the first SIGTERM was sent; 0: not sent yet
