--- a/node/process/graceful_shutdown.h
+++ b/node/process/graceful_shutdown.h
@@ -35,9 +35,10 @@
   ProcessGroup& process_group_;
   downstream::Server& server_;
   dispatch::RequestDispatcher& dispatcher_;
-  const Seconds final_response_time_;  // after the beginning; requests still in flight are then ended
-  const bool is_only_replica_;         // of its tier
-  Seconds began_at_ = 0;               // on the steady clock; 0: has not begun
+  // How long after the beginning the requests that are still in flight get their final responses.
+  const Seconds final_response_time_;
+  const bool is_only_replica_;  // the tier has no other replica
+  Seconds began_at_ = 0;        // on the steady clock; 0: has not begun
   bool is_accepting_ = true;
   // When the kernel was told to direct all new connections to another process, on the steady clock; 0: never.
   Seconds handed_over_at_ = 0;
--- a/node/process/process_group.h
+++ b/node/process/process_group.h
@@ -47,8 +47,8 @@
   // The other processes that are alive now.
   std::vector<pid_t> others() const;
 
-  int file_ = -1;                       // descriptor of the lock file
-  int slot_ = 0;                        // of this process in the lock file: a byte for each state
+  int file_ = -1;  // descriptor of the lock file
+  int slot_ = 0;   // this process's slot in the lock file, which has a byte for each state
   std::vector<pid_t> older_processes_;  // the other processes that were alive when this one started
 };
 
--- a/tests/soak/scripted_client.cpp
+++ b/tests/soak/scripted_client.cpp
@@ -64,7 +64,7 @@
   return connection_.is_open();
 }
 
-// Sends one request, or two pipelined requests, and pauses after the response.
+// Sends one request or two pipelined requests, and then pauses.
 void ScriptedClient::use_connection() {
   if (connection_.has_ended()) {
     if (is_unused_) observations_.add(UnusedConnectionRecord{connection_.connected_at(), steady_seconds()});
