--- a/scale/capacity/assumptions.h
+++ b/scale/capacity/assumptions.h
@@ -1,16 +1,17 @@
-// What is assumed of the planned fleet. Each assumption is a result of its own, under "given." and its key.
+// Assumptions about the planned fleet. Each is also printed as a result, with the key "given." followed by
+// its own key.
 #pragma once
 
 #include <array>
 
 namespace asterdrift::scale::capacity {
 
-// One assumed value.
+// One assumed value with its unit.
 struct Assumption {
   const char* key;
   double value;
   const char* unit;
-  const char* source;  // where the value comes from, and what it means
+  const char* source;  // where the value comes from, then what it means
 };
 
 namespace assumption {
@@ -63,7 +64,7 @@
 inline constexpr Assumption kBatchPeriod{
     "batch_period", 0.1, "s", "ours; the changes of so long travel as one message, where they are batched"};
 
-// All of them, in the order in which they are printed.
+// All assumptions, in the order in which they are printed.
 inline constexpr std::array kAll = {
     kServers,           kServices,          kRequestRate,     kChainDepth,
     kAddedLatency,      kRegions,           kZones,           kChangesPerDay,
--- a/scale/capacity/calculations.cpp
+++ b/scale/capacity/calculations.cpp
@@ -1,4 +1,4 @@
-// The results of the capacity page, one function a subject.
+// Calculates the results on the capacity page.
 #include "scale/capacity/calculations.h"
 
 namespace asterdrift::scale::capacity {
--- a/scale/capacity/calculations.h
+++ b/scale/capacity/calculations.h
@@ -1,4 +1,4 @@
-// The results of the capacity page, one function a subject.
+// Calculates the results on the capacity page, with one function for each subject.
 #pragma once
 
 #include "scale/capacity/fleet.h"
@@ -7,37 +7,39 @@
 
 namespace asterdrift::scale::capacity {
 
-// All of them.
+// All results on the page.
 Results calculate(const Fleet& fleet, const Measurements& measurements);
 
-// The assumptions and measurements themselves.
+// Adds the assumptions and measurements themselves.
 void add_inputs(Results& results, const Measurements& measurements);
 
-// Services, entries and changes of the whole fleet.
+// Adds sizes of services, list entries and change rates of the whole fleet.
 void add_fleet(Results& results, const Fleet& fleet);
 
-// What a node stores and receives, for four scopes of its endpoint list.
+// Adds the memory, bandwidth and processor time that a node needs for its endpoint list, for four sizes of
+// that list.
 void add_endpoint_lists(Results& results, const Fleet& fleet, const Measurements& measurements);
 
-// Requests through a node, its module and a chain of nodes.
+// Adds the costs of requests in a node, in its balancer module and along a chain of nodes.
 void add_requests(Results& results, const Fleet& fleet, const Measurements& measurements);
 
-// A control machine and the watches that it serves.
+// Adds the load on a control machine from the watches that it serves.
 void add_control_plane(Results& results, const Fleet& fleet);
 
-// All nodes restart at once.
+// Adds the effects of a restart of all nodes at once.
 void add_fleet_restart(Results& results, const Fleet& fleet);
 
-// A control machine fails.
+// Adds the effects of the failure of one control machine.
 void add_control_machine_loss(Results& results, const Fleet& fleet);
 
-// A zone is lost.
+// Adds the effects of the failure of one zone.
 void add_zone_loss(Results& results, const Fleet& fleet);
 
-// Regions are partitioned, and meet again.
+// Adds the effects of a partition between regions and of its end.
 void add_partition(Results& results, const Fleet& fleet);
 
-// A node is sent a list that it cannot read, a node under changes, and how fast a change propagates.
+// Adds measurements of whole nodes: the costs of an endpoint list that the node cannot parse, the costs of
+// list changes, and the time that a change takes to propagate.
 void add_measured_nodes(Results& results, const Measurements& measurements);
 
 }  // namespace asterdrift::scale::capacity
--- a/scale/capacity/control_plane_calculations.cpp
+++ b/scale/capacity/control_plane_calculations.cpp
@@ -1,4 +1,4 @@
-// A control machine and the watches that it serves; one agent on each machine has a watch.
+// The load on a control machine from the watches that it serves. The agent on each machine has one watch.
 #include <string>
 
 #include "scale/capacity/assumptions.h"
@@ -8,7 +8,7 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-// Messages of one control machine per second, and what is left of its link.
+// Adds the messages and bytes that one control machine sends per second, and its link's unused capacity.
 void add_traffic(Results& results, const std::string& event, double messages, double message_bytes) {
   const std::string prefix = "control." + event;
   results.add(prefix + "_messages", format_number(messages) + "/s");
@@ -43,8 +43,8 @@
   add_traffic(results, "zone", agents * servers / assumption::kZones.value, change_message_bytes());
   add_traffic(results, "zone_batched", batches,
               batch_message_bytes(servers / assumption::kZones.value * assumption::kBatchPeriod.value));
-  // With lists of the called services alone, only agents that call the largest one are notified of its
-  // release.
+  // If each agent watches only the services that its node calls, a release of the largest service notifies
+  // only the agents whose nodes call that service.
   results.add("control.notified_fraction", format_with_unit(caller_fraction * 100, "%"));
   add_traffic(results, "release_sized", agents * caller_fraction * release_changes, change_message_bytes());
   results.add("control.peer_messages",
--- a/scale/capacity/endpoint_list_calculations.cpp
+++ b/scale/capacity/endpoint_list_calculations.cpp
@@ -1,4 +1,4 @@
-// What a node stores and receives for its endpoint list.
+// The memory, bandwidth and processor time that a node needs for its endpoint list.
 #include <algorithm>
 #include <cmath>
 #include <string>
@@ -12,19 +12,20 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-// The list of one node.
+// Which servers the endpoint list of one node contains.
 struct ListScope {
-  std::string name;                // the prefix of its keys
+  std::string name;                // prefix of the keys of the scope's results
   double servers;                  // on the list
-  double largest_service_servers;  // of these, in the fleet's largest service
+  double largest_service_servers;  // on the list, in the fleet's largest service
 };
 
+// Adds the results of one list scope.
 class ListCalculation {
  public:
   ListCalculation(Results& results, const Fleet& fleet, const Measurements& measurements, ListScope scope)
       : results_(results),
         scope_(std::move(scope)),
-        idle_processor_(measurements.value("idle_cpu")),
+        idle_processor_percent_(measurements.value("idle_cpu")),
         change_us_(CostCurve(measurements, "change_us").at(scope_.servers)),
         snapshot_us_(CostCurve(measurements, "snapshot_us").at(scope_.servers)),
         resident_mb_(CostCurve(measurements, "resident_mb").at(scope_.servers)),
@@ -47,45 +48,47 @@
     const double bytes = list_bytes(scope_.servers);
     add("servers", format_number(std::round(scope_.servers)));
     add("list", format_bytes(bytes));
-    add("list_time", format_seconds(bytes / kBandwidthLimit));
+    add("list_time", format_seconds(bytes / kBandwidthLimitBytesPerSecond));
     add("memory", format_with_unit(resident_mb_, "MB"));
     add("memory_left", format_headroom(resident_mb_, assumption::kMemoryLimit.value));
     add("list_cpu", format_seconds(snapshot_us_ / kMicrosecondsPerSecond));
   }
 
-  // Changes at a multiple of their mean rate, and the empty lines of the watch.
-  void add_steady_state(const std::string& when, double factor) {
-    const double heartbeat_bytes =
+  // Adds the costs of changes at `factor` times their mean rate, and of the heartbeats of the watch.
+  void add_steady_state(const std::string& period, double factor) {
+    const double heartbeat_bytes_per_second =
         (1 + assumption::kMessageOverhead.value) / assumption::kHeartbeatPeriod.value;
     const double rate = change_rate_ * fleet_fraction_ * factor;
-    const double bytes = rate * change_message_bytes() + heartbeat_bytes;
-    const double processor = idle_processor_ + rate * change_us_ / kRateCostPerPercent;
-    add(when + "_changes", format_number(rate) + "/s");
-    add(when + "_messages", format_number(rate + 1 / assumption::kHeartbeatPeriod.value) + "/s");
-    add(when + "_bytes", format_bytes(bytes, "/s"));
-    add(when + "_bytes_left", format_headroom(bytes, kBandwidthLimit));
-    add(when + "_cpu", format_with_unit(processor, "% of a core"));
-    add(when + "_cpu_left", format_headroom(processor, assumption::kProcessorLimit.value));
+    const double bytes_per_second = rate * change_message_bytes() + heartbeat_bytes_per_second;
+    const double processor_percent =
+        idle_processor_percent_ + rate * change_us_ / kMicrosecondsPerSecondPerCorePercent;
+    add(period + "_changes", format_number(rate) + "/s");
+    add(period + "_messages", format_number(rate + 1 / assumption::kHeartbeatPeriod.value) + "/s");
+    add(period + "_bytes", format_bytes(bytes_per_second, "/s"));
+    add(period + "_bytes_left", format_headroom(bytes_per_second, kBandwidthLimitBytesPerSecond));
+    add(period + "_cpu", format_with_unit(processor_percent, "% of a core"));
+    add(period + "_cpu_left", format_headroom(processor_percent, assumption::kProcessorLimit.value));
   }
 
-  // Many entries at once: each as a change of its own, or all in one message.
+  // Adds the costs of `entries` changes at once, each in a message of its own or all in one message.
   void add_burst(const std::string& event, double entries) {
     const double bytes = entries * change_message_bytes();
-    const double processor_time = entries * change_us_ / kMicrosecondsPerSecond;
-    const double snapshot_time = snapshot_us_ / kMicrosecondsPerSecond;
+    const double processor_time_s = entries * change_us_ / kMicrosecondsPerSecond;
+    const double snapshot_time_s = snapshot_us_ / kMicrosecondsPerSecond;
     add(event + "_entries", format_number(std::round(entries)));
     add(event + "_bytes", format_bytes(bytes));
     add(event + "_bytes_batched", format_bytes(batch_message_bytes(entries)));
-    add(event + "_bytes_time", format_seconds(bytes / kBandwidthLimit));
-    add(event + "_cpu", format_seconds(processor_time));
-    add(event + "_cpu_batched", format_seconds(std::min(processor_time, snapshot_time)));
+    add(event + "_bytes_time", format_seconds(bytes / kBandwidthLimitBytesPerSecond));
+    add(event + "_cpu", format_seconds(processor_time_s));
+    add(event + "_cpu_batched", format_seconds(std::min(processor_time_s, snapshot_time_s)));
   }
 
-  static constexpr double kBandwidthLimit = assumption::kBandwidthLimit.value * kBytesPerKilobyte;
+  static constexpr double kBandwidthLimitBytesPerSecond =
+      assumption::kBandwidthLimit.value * kBytesPerKilobyte;
 
   Results& results_;
   ListScope scope_;
-  double idle_processor_;  // percent of a core
+  double idle_processor_percent_;  // of a core
   double change_us_, snapshot_us_, resident_mb_;
   double change_rate_, fleet_fraction_;
 };
--- a/scale/capacity/errors.cpp
+++ b/scale/capacity/errors.cpp
@@ -4,7 +4,7 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-std::string at_line(const std::string& path, std::size_t line, const std::string& reason) {
+std::string with_location(const std::string& path, std::size_t line, const std::string& reason) {
   return path + ":" + std::to_string(line) + ": " + reason;
 }
 
@@ -16,10 +16,11 @@
 DuplicateKeyError::DuplicateKeyError(const std::string& key)
     : std::runtime_error("two results '" + key + "'"), key_(key) {}
 
-SlopeFileError::SlopeFileError(const std::string& path, std::size_t line, const std::string& reason)
-    : std::runtime_error(at_line(path, line, reason)), path_(path), line_(line) {}
+MeasurementsFileError::MeasurementsFileError(const std::string& path, std::size_t line,
+                                             const std::string& reason)
+    : std::runtime_error(with_location(path, line, reason)), path_(path), line_(line) {}
 
 PageError::PageError(const std::string& path, std::size_t line, const std::string& reason)
-    : std::runtime_error(at_line(path, line, reason)), path_(path), line_(line) {}
+    : std::runtime_error(with_location(path, line, reason)), path_(path), line_(line) {}
 
 }  // namespace asterdrift::scale::capacity
--- a/scale/capacity/errors.h
+++ b/scale/capacity/errors.h
@@ -1,4 +1,5 @@
-// Errors of the capacity calculator. Each names the key, or the file and line, that it is about.
+// Errors of the capacity calculator. Errors about a key or a line of a file contain that key, or path and
+// line.
 #pragma once
 
 #include <cstddef>
@@ -7,13 +8,13 @@
 
 namespace asterdrift::scale::capacity {
 
-// The arguments of the command line cannot be used.
+// The command-line arguments are invalid.
 class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A key that names no result or measurement.
+// No result or measurement has this key.
 class UnknownKeyError : public std::runtime_error {
  public:
   explicit UnknownKeyError(const std::string& key);
@@ -23,7 +24,7 @@
   std::string key_;
 };
 
-// A key that names two results.
+// Two results have the same key.
 class DuplicateKeyError : public std::runtime_error {
  public:
   explicit DuplicateKeyError(const std::string& key);
@@ -33,10 +34,10 @@
   std::string key_;
 };
 
-// A line of the file of measurements, or the table that it names, cannot be used.
-class SlopeFileError : public std::runtime_error {
+// A line of the measurements file is invalid, or names a column that its report table does not have.
+class MeasurementsFileError : public std::runtime_error {
  public:
-  SlopeFileError(const std::string& path, std::size_t line, const std::string& reason);
+  MeasurementsFileError(const std::string& path, std::size_t line, const std::string& reason);
   const std::string& path() const { return path_; }
   std::size_t line() const { return line_; }
 
@@ -45,7 +46,7 @@
   std::size_t line_;
 };
 
-// The page has a result that is unknown or has no end.
+// The page has a result with an unknown key or without an end mark.
 class PageError : public std::runtime_error {
  public:
   PageError(const std::string& path, std::size_t line, const std::string& reason);
--- a/scale/capacity/fleet.cpp
+++ b/scale/capacity/fleet.cpp
@@ -1,5 +1,5 @@
-// The planned fleet: how many servers each service has, and the rates and sizes that follow from the
-// assumptions alone.
+// Figures of the planned fleet that follow from the assumptions alone: the servers of each service, rates,
+// and sizes of messages.
 #include "scale/capacity/fleet.h"
 
 #include <algorithm>
@@ -14,14 +14,15 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-std::string entry_text(EntryKind kind) {
+std::string entry_json(EntryKind kind) {
   const std::string restart_time = kind == EntryKind::kRestarted ? "1764633600000" : "0";
   return R"({"host":"s-5be2a07c","dial":"10.101.200.18:3000","site":"region-07-b","class":"m2",)"
          R"("block":3,"health":"active","share":1.0,"born_ms":)" +
          restart_time + "}";
 }
 
-// A Zipf distribution of the servers with at least one server in each service.
+// Distributes the servers over the services by Zipf's law, with at least one server in each service. Finds
+// the size of the largest service by bisection.
 std::vector<double> zipf_service_sizes() {
   constexpr int kBisections = 60;
   std::vector<double> sizes(static_cast<std::size_t>(assumption::kServices.value));
@@ -44,7 +45,7 @@
 
 }  // namespace
 
-double entry_bytes(EntryKind kind) { return static_cast<double>(entry_text(kind).size()); }
+double entry_bytes(EntryKind kind) { return static_cast<double>(entry_json(kind).size()); }
 
 double list_bytes(double servers) {
   const std::string empty_list = R"({"seq":123456789,"whole":true,"hosts":[]})"
--- a/scale/capacity/fleet_calculations.cpp
+++ b/scale/capacity/fleet_calculations.cpp
@@ -1,4 +1,4 @@
-// Inputs, and what holds for the whole fleet.
+// The assumptions and measurements as results, and figures of the whole fleet.
 #include <cmath>
 #include <string>
 
@@ -19,7 +19,8 @@
 
 std::string format_measurement(const Measurement& measurement) {
   if (!std::isnan(measurement.value)) return format_with_unit(measurement.value, measurement.unit);
-  return measurement.code == "-" ? "not run" : "none";  // none: a run that gave no number
+  // "none": the report has no number in this cell.
+  return measurement.code_version == "-" ? "not run" : "none";
 }
 
 }  // namespace
@@ -31,16 +32,16 @@
   results.add("plain.services_per_node", format_number(assumption::kServicesPerNode.value));
   for (const auto& [key, measurement] : measurements.all()) {
     results.add("measured." + key, format_measurement(measurement));
-    results.add("code." + key, measurement.code);
+    results.add("code." + key, measurement.code_version);
     results.add("command." + key, measurement.command);
   }
 }
 
 void add_fleet(Results& results, const Fleet& fleet) {
-  double squares = 0;
+  double sum_of_squares = 0;
   double single_server_services = 0;
   for (const double size : fleet.service_sizes) {
-    squares += size * size;
+    sum_of_squares += size * size;
     single_server_services += size == 1 ? 1 : 0;
   }
   const double total = fleet.total_servers;
@@ -49,8 +50,8 @@
   results.add("fleet.mean", format_number(total / assumption::kServices.value));
   results.add("fleet.single", format_number(single_server_services));
   results.add("fleet.single_requests", format_with_unit(single_server_services / total * 100, "%"));
-  // The size of the service of a server that is drawn at random.
-  results.add("fleet.size_seen", format_number(squares / total));
+  // The expected size of the service to which a randomly drawn server belongs.
+  results.add("fleet.size_seen", format_number(sum_of_squares / total));
   results.add("fleet.entry", format_bytes(entry_bytes()));
   results.add("fleet.entry_never_restarted", format_bytes(entry_bytes(EntryKind::kNeverRestarted)));
   results.add("fleet.change_message", format_bytes(change_message_bytes()));
--- a/scale/capacity/main.cpp
+++ b/scale/capacity/main.cpp
@@ -1,16 +1,16 @@
-// What the planned fleet needs of each role, from assumptions and measurements. Every result of
+// Calculates the resources that the planned fleet needs, from assumptions and measurements. Each result on
 // docs/CAPACITY.md has a key here.
 //
-//   capacity_calculator MEASUREMENTS                  prints the assumptions, the measurements and all
-//   results capacity_calculator MEASUREMENTS KEY...           prints these results; a key that ends in a dot
-//   stands
-//                                                     for all that begin with it
-//   capacity_calculator MEASUREMENTS --write PAGE     puts the results into the page
-//   capacity_calculator MEASUREMENTS --check PAGE     fails where the page shows another result, or a key
-//   that
-//                                                     is unknown
+//   capacity_calculator MEASUREMENTS
+//       prints the assumptions, the measurements and all results
+//   capacity_calculator MEASUREMENTS KEY...
+//       prints the results with these keys; a key that ends in a dot selects all keys that begin with it
+//   capacity_calculator MEASUREMENTS --write PAGE
+//       updates the results on the page
+//   capacity_calculator MEASUREMENTS --check PAGE
+//       fails if the page shows an outdated result or an unknown key
 //
-// Exit status: 0; 1 where the page is stale; 2 on an error.
+// Exit status: 0 on success, 1 if --check found outdated results, 2 on an error.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -31,8 +31,8 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-constexpr int kStalePage = 1;
-constexpr int kError = 2;
+constexpr int kStalePageStatus = 1;
+constexpr int kErrorStatus = 2;
 
 struct Arguments {
   enum class Command { kPrintAll, kPrintKeys, kWritePage, kCheckPage };
@@ -42,21 +42,21 @@
   std::set<std::string> keys;
 };
 
-Arguments parse_arguments(const std::vector<std::string>& words) {
+Arguments parse_arguments(const std::vector<std::string>& args) {
   const char* const usage = "usage: capacity_calculator MEASUREMENTS [KEY... | --write PAGE | --check PAGE]";
-  if (words.empty()) throw UsageError(usage);
+  if (args.empty()) throw UsageError(usage);
   Arguments arguments;
-  arguments.measurements_path = words[0];
-  if (words.size() == 1) return arguments;
-  if (words[1] == "--write" || words[1] == "--check") {
-    if (words.size() != 3) throw UsageError(usage);
+  arguments.measurements_path = args[0];
+  if (args.size() == 1) return arguments;
+  if (args[1] == "--write" || args[1] == "--check") {
+    if (args.size() != 3) throw UsageError(usage);
     arguments.command =
-        words[1] == "--write" ? Arguments::Command::kWritePage : Arguments::Command::kCheckPage;
-    arguments.page_path = words[2];
+        args[1] == "--write" ? Arguments::Command::kWritePage : Arguments::Command::kCheckPage;
+    arguments.page_path = args[2];
     return arguments;
   }
   arguments.command = Arguments::Command::kPrintKeys;
-  arguments.keys.insert(words.begin() + 1, words.end());
+  arguments.keys.insert(args.begin() + 1, args.end());
   return arguments;
 }
 
@@ -80,11 +80,11 @@
 
 void print_keys(const Results& results, const std::set<std::string>& keys) {
   for (const std::string& key : results.keys()) {
-    const bool is_named = keys.contains(key);
-    const bool has_prefix = std::any_of(keys.begin(), keys.end(), [&](const std::string& named) {
-      return is_prefix(named) && key.starts_with(named);
-    });
-    if (is_named || has_prefix) print_result(results, key);
+    const bool is_requested = keys.contains(key);
+    const bool has_requested_prefix = std::any_of(
+        keys.begin(), keys.end(),
+        [&](const std::string& requested) { return is_prefix(requested) && key.starts_with(requested); });
+    if (is_requested || has_requested_prefix) print_result(results, key);
   }
   for (const std::string& key : keys) {
     if (!is_prefix(key) && results.find(key) == nullptr) throw UnknownKeyError(key);
@@ -110,7 +110,7 @@
   for (const StaleResult& result : stale) {
     std::cout << result.key << ": '" << result.shown << "' is '" << result.current << "' now\n";
   }
-  if (arguments.command == Arguments::Command::kCheckPage) return stale.empty() ? 0 : kStalePage;
+  if (arguments.command == Arguments::Command::kCheckPage) return stale.empty() ? 0 : kStalePageStatus;
   page.write();
   return 0;
 }
@@ -124,6 +124,6 @@
     return run(parse_arguments({argv + 1, argv + argc}));
   } catch (const std::exception& error) {
     std::cerr << "capacity_calculator: " << error.what() << "\n";
-    return kError;
+    return kErrorStatus;
   }
 }
--- a/scale/capacity/measurements.cpp
+++ b/scale/capacity/measurements.cpp
@@ -1,4 +1,4 @@
-// What has been measured: the cells of stored benchmark reports that docs/capacity-slopes.txt names.
+// Measurements: the cells of stored benchmark reports that the measurements file names.
 #include "scale/capacity/measurements.h"
 
 #include <algorithm>
@@ -14,32 +14,34 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-// Sizes, in listed servers, at which costs are measured.
+// Sizes of endpoint lists, in servers, at which costs are measured.
 constexpr int kMeasuredSizes[] = {7, 70, 700, 7000, 27000};
 
-// Versions of the code whose reports are stored, the preferred one first.
-constexpr const char* kCodes[] = {"final", "untouched"};
+// Versions of the code that have stored reports, the preferred one first.
+constexpr const char* kCodeVersions[] = {"final", "untouched"};
 
-// The cells of one line of the file.
-struct Definition {
+// One line of the measurements file, split into its cells.
+struct MeasurementDefinition {
   std::string key, unit, table, row, column, command;
 };
 
-Definition parse_definition(const std::string& path, std::size_t number, const std::string& line) {
+MeasurementDefinition parse_definition(const std::string& path, std::size_t line_number,
+                                       const std::string& line) {
   const std::vector<std::string> cells = split_cells(line, '|');
   if (cells.size() != 6) {
-    throw SlopeFileError(path, number, "not 'key | unit | table | row | column | command': " + line);
+    throw MeasurementsFileError(path, line_number,
+                                "not 'key | unit | table | row | column | command': " + line);
   }
   return {cells[0], cells[1], cells[2], cells[3], cells[4], cells[5]};
 }
 
-Measurement read_measurement(const std::filesystem::path& reports, const Definition& definition) {
+Measurement read_measurement(const std::filesystem::path& reports, const MeasurementDefinition& definition) {
   Measurement measurement{kNotMeasured, definition.unit, "-", definition.command};
-  for (const char* code : kCodes) {
-    std::ifstream report(reports / code / (definition.table + ".txt"));
+  for (const char* code_version : kCodeVersions) {
+    std::ifstream report(reports / code_version / (definition.table + ".txt"));
     if (!report) continue;
     measurement.value = ReportTable(report).number(definition.row, definition.column);
-    measurement.code = code;
+    measurement.code_version = code_version;
     break;
   }
   return measurement;
@@ -52,18 +54,18 @@
   if (!file) throw std::system_error(errno, std::generic_category(), "cannot read " + path);
   const std::filesystem::path reports = std::filesystem::path(path).parent_path() / "slopes";
   Measurements measurements;
-  std::size_t number = 0;
+  std::size_t line_number = 0;
   for (std::string line; std::getline(file, line);) {
-    ++number;
+    ++line_number;
     if (line.empty() || line.front() == '#') continue;
-    const Definition definition = parse_definition(path, number, line);
+    const MeasurementDefinition definition = parse_definition(path, line_number, line);
     try {
       const Measurement measurement = read_measurement(reports, definition);
       if (!measurements.all_.emplace(definition.key, measurement).second) {
-        throw SlopeFileError(path, number, "'" + definition.key + "' twice");
+        throw MeasurementsFileError(path, line_number, "'" + definition.key + "' twice");
       }
     } catch (const UnknownColumnError& error) {
-      throw SlopeFileError(path, number, definition.table + ": " + error.what());
+      throw MeasurementsFileError(path, line_number, definition.table + ": " + error.what());
     }
   }
   return measurements;
--- a/scale/capacity/measurements.h
+++ b/scale/capacity/measurements.h
@@ -1,4 +1,5 @@
-// What has been measured: the cells of stored benchmark reports that docs/capacity-slopes.txt names.
+// Measurements: the cells of stored benchmark reports that the measurements file (docs/capacity-slopes.txt)
+// names.
 #pragma once
 
 #include <map>
@@ -10,38 +11,41 @@
 
 namespace asterdrift::scale::capacity {
 
-// One measured value, and the report that has it.
+// One measured value, and the report from which it was read.
 struct Measurement {
   double value = kNotMeasured;
   std::string unit;
-  std::string code = "-";  // of which code the report is: "final", "untouched", or "-" where there is none
-  std::string command;     // which printed the report
+  std::string code_version = "-";  // of the measured code: "final", "untouched", or "-" if there is no report
+  std::string command;             // command line that printed the report
 };
 
-// Measurements by their keys.
+// All measurements, by their keys.
 class Measurements {
  public:
-  // Reads lines "key | unit | table | row | column | command": the cell of the table that `command` printed,
-  // stored as slopes/CODE/TABLE.txt next to the file. CODE is "final" where that report is there, otherwise
-  // "untouched". Throws SlopeFileError, or std::system_error where the file cannot be read.
+  // Reads lines of the form "key | unit | table | row | column | command". Each names a cell of the table
+  // that `command` printed and that is stored as slopes/VERSION/TABLE.txt next to the measurements file.
+  // VERSION is "final" if that report exists, otherwise "untouched". Throws MeasurementsFileError, or
+  // std::system_error if the measurements file cannot be read.
   static Measurements read(const std::string& path);
 
   const std::map<std::string, Measurement>& all() const { return all_; }
 
-  // Throws UnknownKeyError.
+  // The value of the measurement with this key; kNotMeasured if no report has the value. Throws
+  // UnknownKeyError.
   double value(const std::string& key) const;
 
  private:
   std::map<std::string, Measurement> all_;
 };
 
-// A cost that has been measured at several sizes: linear between them and beyond the last.
+// A cost as a function of the size of the endpoint list: interpolated linearly between the measured sizes,
+// and extrapolated linearly outside them, but never negative.
 class CostCurve {
  public:
-  // Takes the measurements whose keys are `name`, an underscore and a size.
+  // Uses the measurements whose keys consist of `name`, an underscore and a size.
   CostCurve(const Measurements& measurements, const std::string& name);
 
-  // kNotMeasured with fewer than two points.
+  // The cost at a size; kNotMeasured if fewer than two sizes are measured.
   double at(double size) const;
 
  private:
--- a/scale/capacity/page.cpp
+++ b/scale/capacity/page.cpp
@@ -1,4 +1,4 @@
-// The page of results: each stands as <!--=key-->text<!--/-->.
+// The Markdown page of results, in which each result is marked as <!--=key-->text<!--/-->.
 #include "scale/capacity/page.h"
 
 #include <algorithm>
@@ -23,8 +23,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// The line of a position, from 1.
-std::size_t line_of(const std::string& text, std::size_t position) {
+// The number of the line that contains a position; the first line is 1.
+std::size_t line_number(const std::string& text, std::size_t position) {
   const auto end = text.begin() + static_cast<std::ptrdiff_t>(position);
   return 1 + static_cast<std::size_t>(std::count(text.begin(), end, '\n'));
 }
@@ -42,12 +42,13 @@
     const std::size_t key_end = text_.find(kKeyEnd, key_begin);
     const std::size_t end =
         key_end == std::string::npos ? std::string::npos : text_.find(kResultEnd, key_end);
-    if (end == std::string::npos) throw PageError(path_, line_of(text_, begin), "a result without an end");
+    if (end == std::string::npos)
+      throw PageError(path_, line_number(text_, begin), "a result without an end");
     const std::string key = text_.substr(key_begin, key_end - key_begin);
     const std::size_t shown_begin = key_end + kKeyEnd.size();
     const std::string shown = text_.substr(shown_begin, end - shown_begin);
     const std::string* current = results.find(key);
-    if (current == nullptr) throw PageError(path_, line_of(text_, begin), "unknown result '" + key + "'");
+    if (current == nullptr) throw PageError(path_, line_number(text_, begin), "unknown result '" + key + "'");
     if (shown != *current) stale.push_back({key, shown, *current});
     updated += text_.substr(copied, shown_begin - copied) + *current + kResultEnd;
     copied = end + kResultEnd.size();
--- a/scale/capacity/page.h
+++ b/scale/capacity/page.h
@@ -1,4 +1,4 @@
-// The page of results: each stands as <!--=key-->text<!--/-->.
+// The Markdown page of results, in which each result is marked as <!--=key-->text<!--/-->.
 #pragma once
 
 #include <string>
@@ -8,23 +8,24 @@
 
 namespace asterdrift::scale::capacity {
 
-// A result that the page shows with another text than the current one.
+// A result whose text on the page differs from the calculated one.
 struct StaleResult {
   std::string key;
   std::string shown;    // on the page
   std::string current;  // as calculated
 };
 
-// The text of the page, and the file that it came from.
+// The text of the page and the path of its file.
 class Page {
  public:
-  // Throws std::system_error where the file cannot be read.
+  // Reads the page. Throws std::system_error if the file cannot be read.
   explicit Page(const std::string& path);
 
-  // Puts the current results into the page. Returns those that were others before. Throws PageError.
+  // Replaces the results in the page's text with the current ones, and returns those that differed. Throws
+  // PageError if a result has no end mark or an unknown key.
   std::vector<StaleResult> update(const Results& results);
 
-  // Writes the page back to its file; throws std::system_error.
+  // Writes the page to its file. Throws std::system_error if that fails.
   void write() const;
 
  private:
--- a/scale/capacity/report_table.cpp
+++ b/scale/capacity/report_table.cpp
@@ -1,4 +1,4 @@
-// The table of a stored benchmark report, and text cut into cells.
+// Reads the table of a stored benchmark report.
 #include "scale/capacity/report_table.h"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 namespace asterdrift::scale::capacity {
 namespace {
 
-const std::string kCondition = " if ";
-const std::string kSum = " + ";
+const std::string kConditionOperator = " if ";
+const std::string kSumOperator = " + ";
 
 double parse_number(const std::string& cell) {
   std::size_t used = 0;
@@ -49,24 +49,24 @@
   for (std::string line; std::getline(report, line);) {
     if (!line.starts_with("|")) continue;
     std::vector<std::string> cells = split_cells(line, '|');
-    cells.erase(cells.begin());  // what is before the first bar
+    cells.erase(cells.begin());  // the empty cell before the first bar
     lines_.push_back(std::move(cells));
   }
 }
 
 double ReportTable::number(const std::string& row, const std::string& column) const {
-  if (const std::size_t at = column.find(kCondition); at != std::string::npos) {
-    const double condition = number(row, column.substr(at + kCondition.size()));
+  if (const std::size_t at = column.find(kConditionOperator); at != std::string::npos) {
+    const double condition = number(row, column.substr(at + kConditionOperator.size()));
     return std::isnan(condition) ? kNotMeasured : number(row, column.substr(0, at));
   }
-  if (const std::size_t at = column.find(kSum); at != std::string::npos) {
-    return number(row, column.substr(0, at)) + number(row, column.substr(at + kSum.size()));
+  if (const std::size_t at = column.find(kSumOperator); at != std::string::npos) {
+    return number(row, column.substr(0, at)) + number(row, column.substr(at + kSumOperator.size()));
   }
   if (lines_.empty()) return kNotMeasured;
-  const std::vector<std::string>& names = lines_.front();
-  const auto name = std::find(names.begin(), names.end(), column);
-  if (name == names.end()) throw UnknownColumnError(column);
-  const auto index = static_cast<std::size_t>(std::distance(names.begin(), name));
+  const std::vector<std::string>& column_names = lines_.front();
+  const auto name = std::find(column_names.begin(), column_names.end(), column);
+  if (name == column_names.end()) throw UnknownColumnError(column);
+  const auto index = static_cast<std::size_t>(std::distance(column_names.begin(), name));
   const std::vector<std::string> first_cells = split_cells(row, ',');
   for (const std::vector<std::string>& cells : lines_) {
     if (!starts_with(cells, first_cells)) continue;
--- a/scale/capacity/report_table.h
+++ b/scale/capacity/report_table.h
@@ -1,4 +1,4 @@
-// The table of a stored benchmark report, and text cut into cells.
+// Reads the table of a stored benchmark report.
 #pragma once
 
 #include <istream>
@@ -9,27 +9,31 @@
 
 namespace asterdrift::scale::capacity {
 
-// The value of what no run has measured. Results computed from it read "not run".
+// The value of a measurement without a result, a NaN. Results that are calculated from it are printed as "not
+// run".
 constexpr double kNotMeasured = std::numeric_limits<double>::quiet_NaN();
 
-// The cells of a line, without the blanks around them.
+// Splits a line into cells, without the spaces and tabs around them.
 std::vector<std::string> split_cells(const std::string& line, char separator);
 
-// A column that the table does not have.
+// The table has no column with this name.
 class UnknownColumnError : public std::runtime_error {
  public:
   explicit UnknownColumnError(const std::string& column);
 };
 
-// Reads single cells as numbers.
+// A table whose cells can be read as numbers.
 class ReportTable {
  public:
-  // Reads the lines that begin with a bar: the names of the columns, a rule, and the rows.
+  // Reads the lines of a Markdown table, which begin with a bar: the names of the columns, a separator line,
+  // and the rows.
   explicit ReportTable(std::istream& report);
 
-  // The number in a cell; kNotMeasured where there is no such row, or no number in it.
-  //   row     the first cells of the row, separated by commas
-  //   column  its name; "A + B" adds up two columns, and "A if B" takes A only where B is a number
+  // The number in a cell; kNotMeasured if there is no such row or its cell is not a number. Throws
+  // UnknownColumnError.
+  //   row: the first cells of the row, separated by commas
+  //   column: the column's name; or "A + B" for the sum of two columns; or "A if B" for column A if column B
+  //   has a number, otherwise kNotMeasured
   double number(const std::string& row, const std::string& column) const;
 
  private:
--- a/scale/capacity/results.cpp
+++ b/scale/capacity/results.cpp
@@ -1,4 +1,4 @@
-// The results that the page shows, by their keys, in the order in which they are printed.
+// The calculated results as texts, by their keys.
 #include "scale/capacity/results.h"
 
 #include "scale/capacity/errors.h"
--- a/scale/capacity/results.h
+++ b/scale/capacity/results.h
@@ -1,4 +1,4 @@
-// The results that the page shows, by their keys, in the order in which they are printed.
+// The calculated results as texts, by their keys.
 #pragma once
 
 #include <map>
@@ -7,16 +7,16 @@
 
 namespace asterdrift::scale::capacity {
 
-// Each key is added once.
+// Each key can be added only once.
 class Results {
  public:
-  // Throws DuplicateKeyError.
+  // Throws DuplicateKeyError if the key has been added before.
   void add(const std::string& key, const std::string& text);
 
-  // In the order in which they were added.
+  // The keys in the order in which they were added, which is the order in which results are printed.
   const std::vector<std::string>& keys() const { return keys_; }
 
-  // Null where there is no such result.
+  // The text of a result; null if there is no result with this key.
   const std::string* find(const std::string& key) const;
 
  private:
--- a/scale/capacity/units.h
+++ b/scale/capacity/units.h
@@ -1,4 +1,4 @@
-// Factors between units.
+// Conversion factors between units.
 #pragma once
 
 namespace asterdrift::scale::capacity {
@@ -8,9 +8,9 @@
 constexpr double kMicrosecondsPerMillisecond = 1e3;
 constexpr double kMillisecondsPerSecond = 1e3;
 constexpr double kBytesPerKilobyte = 1e3;
-constexpr double kBytesPerReportedKilobyte = 1024;  // in benchmark reports
+constexpr double kBytesPerReportedKilobyte = 1024;  // KB in benchmark reports
 
-// A rate per second times a cost in us, divided by this, is percent of a core.
-constexpr double kRateCostPerPercent = 1e4;
+// Processor time in microseconds per second that is one percent of a core.
+constexpr double kMicrosecondsPerSecondPerCorePercent = 1e4;
 
 }  // namespace asterdrift::scale::capacity
--- a/scale/capacity/value_format.cpp
+++ b/scale/capacity/value_format.cpp
@@ -1,4 +1,5 @@
-// Values as the page shows them: three significant digits, thousands separated, "not run" for NaN.
+// Formats values for the page: three significant digits but always the whole integer part, commas between
+// thousands, and "not run" for NaN.
 #include "scale/capacity/value_format.h"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 constexpr int kSignificantDigits = 3;
 constexpr int kMaxDecimals = 9;
 
-int decimals_of(double magnitude) {
+int decimal_places(double magnitude) {
   if (magnitude >= 100 || magnitude == 0) return 0;
   const int decimals = kSignificantDigits - 1 - static_cast<int>(std::floor(std::log10(magnitude)));
   return std::clamp(decimals, 0, kMaxDecimals);
@@ -37,7 +38,7 @@
 std::string format_number(double value) {
   if (std::isnan(value)) return kNotRun;
   char digits[64];
-  std::snprintf(digits, sizeof digits, "%.*f", decimals_of(std::abs(value)), value);
+  std::snprintf(digits, sizeof digits, "%.*f", decimal_places(std::abs(value)), value);
   std::string text = digits;
   remove_trailing_zeros(text);
   separate_thousands(text);
