--- a/scale/stand_ins/discovery_connection.cpp
+++ b/scale/stand_ins/discovery_connection.cpp
@@ -1,4 +1,4 @@
-// One connection to the stand-in discovery: polls for a list, and watches.
+// One connection to the stand-in discovery: answers polls for an endpoint list, and serves watches.
 #include "scale/stand_ins/discovery_connection.h"
 
 #include <boost/asio/buffer.hpp>
@@ -19,11 +19,11 @@
 using boost::system::error_code;
 
 constexpr std::chrono::seconds kHeartbeatPeriod{2};
-constexpr std::size_t kMaxPollTimes = 1000;
+constexpr std::size_t kMaxRecordedPolls = 1000;
 const char* const kHeadEnd = "\r\n\r\n";
 
-// The version that a watch continues from, if it names one.
-std::optional<std::uint64_t> known_version(const std::string& request_line) {
+// The list version after which a watch continues, if its request line has one.
+std::optional<std::uint64_t> parse_known_version(const std::string& request_line) {
   const std::string name = "index=";
   const std::size_t at = request_line.find(name);
   if (at == std::string::npos) return std::nullopt;
@@ -32,7 +32,8 @@
   return version;
 }
 
-// Makes the last entry unreadable, in the same number of bytes.
+// Gives the last entry of a snapshot an unknown health value of the same length, so that the entry cannot be
+// parsed and the snapshot keeps its size.
 void corrupt_last_entry(std::string& snapshot) {
   const std::string health = "\"active\"";
   snapshot.replace(snapshot.rfind(health), health.size(), "\"astray\"");
@@ -58,7 +59,7 @@
   is_watching_ = false;
 }
 
-void DiscoveryConnection::send(Text text) {
+void DiscoveryConnection::send(SharedText text) {
   if (!socket_.is_open()) return;
   queue_.push_back(std::move(text));
   if (queue_.size() == 1) write_next();
@@ -81,7 +82,7 @@
 
 void DiscoveryConnection::respond(const std::string& head) {
   state_.counts.requests += 1;
-  if (state_.polled_at.size() < kMaxPollTimes) state_.polled_at.push_back(node::timing::now());
+  if (state_.polled_at.size() < kMaxRecordedPolls) state_.polled_at.push_back(node::timing::now());
   if (state_.mode == DiscoveryMode::kHang) return;
   if (state_.mode == DiscoveryMode::kUnavailable) {
     const std::string status = "HTTP/1.1 503 Service Unavailable\r\n";
@@ -106,8 +107,8 @@
   send(std::make_shared<std::string>(test_support::kChunkedResponseHead));
   is_watching_ = true;
   state_.counts.open_watches += 1;
-  const std::optional<std::uint64_t> version = known_version(request_line);
-  const Text changes = version ? state_.list.changes_since(*version) : nullptr;
+  const std::optional<std::uint64_t> version = parse_known_version(request_line);
+  const SharedText changes = version ? state_.list.changes_since(*version) : nullptr;
   if (changes == nullptr) {
     send_snapshot_event();
   } else if (!changes->empty()) {
--- a/scale/stand_ins/discovery_process.cpp
+++ b/scale/stand_ins/discovery_process.cpp
@@ -1,4 +1,4 @@
-// The stand-in discovery in a process of its own, and the commands that it carries out.
+// The stand-in discovery in a child process, controlled by commands over a socket pair.
 #include "scale/stand_ins/discovery_process.h"
 
 #include <sys/socket.h>
@@ -25,11 +25,11 @@
 };
 
 struct DiscoveryProcess::Reply {
-  double received_at = 0;  // s on the steady clock
+  Seconds received_at = 0;  // when the command arrived, on the steady clock
   DiscoveryCounts counts;
 };
 
-// Carries out the commands that arrive in the child.
+// Receives commands in the child process, executes them, and replies.
 class DiscoveryProcess::CommandServer {
  public:
   CommandServer(boost::asio::io_context& io, StandInDiscovery& discovery, int socket)
@@ -47,12 +47,13 @@
                        });
   }
 
-  // False where the other end is gone.
+  // Returns false if the parent process has closed its end of the socket.
   bool handle_command() {
     Command command;
     if (recv(socket_.native_handle(), &command, sizeof command, 0) != sizeof command) return false;
-    const double received_at = test_support::steady_seconds();
-    // This reply goes out first: what the change causes in the sender of the command must not wait behind it.
+    const Seconds received_at = test_support::steady_seconds();
+    // Replies before it sends the change: the commanding process is blocked until the reply arrives, and the
+    // effects of the change on nodes in that process must not wait for the reply.
     if (command.operation == Operation::kSetDraining) {
       if (!reply(received_at)) return false;
       discovery_.set_draining(command.index, command.draining);
@@ -79,8 +80,8 @@
   if (socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, ends) != 0) {
     throw std::system_error(errno, std::generic_category(), "create sockets for the stand-in discovery");
   }
-  here = test_support::FileDescriptor(ends[0]);
-  in_child = test_support::FileDescriptor(ends[1]);
+  parent_end = test_support::FileDescriptor(ends[0]);
+  child_end = test_support::FileDescriptor(ends[1]);
 }
 
 DiscoveryProcess::DiscoveryProcess(std::size_t endpoints, int endpoint_port)
@@ -88,16 +89,16 @@
         raise_descriptor_limit();
         boost::asio::io_context io(1);
         StandInDiscovery discovery(io, endpoints, endpoint_port);
-        const CommandServer commands(io, discovery, sockets_.in_child.get());
+        const CommandServer commands(io, discovery, sockets_.child_end.get());
         announce_port(discovery.port());
         io.run();
       }) {
-  sockets_.in_child.close();
+  sockets_.child_end.close();
 }
 
 DiscoveryProcess::Reply DiscoveryProcess::send_command(const Command& command) const {
   const std::string operation = "command to the stand-in discovery on port " + std::to_string(port());
-  const int socket = sockets_.here.get();
+  const int socket = sockets_.parent_end.get();
   if (send(socket, &command, sizeof command, MSG_NOSIGNAL) != sizeof command) {
     throw std::system_error(errno, std::generic_category(), operation);
   }
@@ -113,7 +114,7 @@
   send_command(command);
 }
 
-double DiscoveryProcess::set_draining(std::size_t index, bool draining) {
+Seconds DiscoveryProcess::set_draining(std::size_t index, bool draining) {
   Command command{Command::Operation::kSetDraining};
   command.index = index;
   command.draining = draining;
--- a/scale/stand_ins/discovery_process.h
+++ b/scale/stand_ins/discovery_process.h
@@ -1,4 +1,4 @@
-// The stand-in discovery in a process of its own, and the commands that it carries out.
+// The stand-in discovery in a child process, controlled by commands over a socket pair.
 #pragma once
 
 #include <sys/types.h>
@@ -6,28 +6,30 @@
 #include <cstddef>
 #include <cstdint>
 
+#include "asterdrift/seconds.h"
 #include "scale/stand_ins/discovery_connection.h"
 #include "scale/stand_ins/server_process.h"
 #include "support/file_descriptor.h"
 
 namespace asterdrift::scale {
 
-// All commands throw std::system_error where the process has ended.
+// All commands throw std::system_error if the child process has ended.
 class DiscoveryProcess {
  public:
   DiscoveryProcess(std::size_t endpoints, int endpoint_port);
 
   int port() const { return process_.port(); }
   void set_mode(DiscoveryMode mode);
-  // Returns when the command arrived there, in s on the steady clock; the change is sent after that.
-  double set_draining(std::size_t index, bool draining);
+  // Returns the time on the steady clock at which the child received the command; the child sends the change
+  // to the watches after that.
+  Seconds set_draining(std::size_t index, bool draining);
   void set_change_rate(double changes_per_second);
   DiscoveryCounts counts();
 
  private:
   struct SocketPair {
     SocketPair();
-    test_support::FileDescriptor here, in_child;
+    test_support::FileDescriptor parent_end, child_end;
   };
   struct Command;
   struct Reply;
--- a/scale/stand_ins/endpoint_lists.cpp
+++ b/scale/stand_ins/endpoint_lists.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists of any size, as discovery sends them, and the versions that they go through.
+// Generates endpoint lists of any size in the format of discovery, and versions of them.
 #include "scale/stand_ins/endpoint_lists.h"
 
 #include <cstdio>
@@ -9,11 +9,15 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr std::size_t kHistoryLimit = 4096;             // changes; older versions get a snapshot
-constexpr std::uint64_t kNameMultiplier = 2654435761U;  // spreads consecutive indices over all names
+// A watch that continues from a version before these changes gets a snapshot.
+constexpr std::size_t kMaxHistoryChanges = 4096;
+
+// Spreads the names of consecutive indices over the whole range of names.
+constexpr std::uint64_t kNameMultiplier = 2654435761U;
+
 constexpr unsigned kBlocks = 8;
-const char* const kReady = "active";
-const char* const kDraining = "leaving";
+const char* const kReadyHealth = "active";
+const char* const kDrainingHealth = "leaving";
 
 std::string entry_text(std::size_t index, int endpoint_port, const std::string& health) {
   test_support::EndpointEntry entry;
@@ -47,7 +51,7 @@
 std::string snapshot_text(std::uint64_t version, std::size_t endpoints, int endpoint_port) {
   std::string entries;
   for (std::size_t index = 0; index < endpoints; ++index) {
-    append_entry(entries, entry_text(index, endpoint_port, kReady));
+    append_entry(entries, entry_text(index, endpoint_port, kReadyHealth));
   }
   return test_support::snapshot(version, entries);
 }
@@ -63,11 +67,11 @@
 void VersionedEndpointList::set_draining(std::size_t index, bool draining) {
   draining_[index] = draining;
   history_.push_back({++version_, index});
-  if (history_.size() > kHistoryLimit) history_.pop_front();
+  if (history_.size() > kMaxHistoryChanges) history_.pop_front();
   snapshot_.reset();
 }
 
-VersionedEndpointList::Text VersionedEndpointList::snapshot() {
+VersionedEndpointList::SharedText VersionedEndpointList::snapshot() {
   if (snapshot_) return snapshot_;
   std::string entries;
   for (std::size_t index = 0; index < draining_.size(); ++index) append_entry(entries, entry(index));
@@ -79,7 +83,7 @@
   return test_support::incremental_list(version_, entry(history_.back().index));
 }
 
-VersionedEndpointList::Text VersionedEndpointList::changes_since(std::uint64_t version) const {
+VersionedEndpointList::SharedText VersionedEndpointList::changes_since(std::uint64_t version) const {
   if (version == version_) return std::make_shared<std::string>();
   if (version > version_ || history_.empty() || history_.front().version > version + 1) return nullptr;
   std::set<std::size_t> changed;
@@ -92,7 +96,7 @@
 }
 
 std::string VersionedEndpointList::entry(std::size_t index) const {
-  return entry_text(index, endpoint_port_, draining_[index] ? kDraining : kReady);
+  return entry_text(index, endpoint_port_, draining_[index] ? kDrainingHealth : kReadyHealth);
 }
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/endpoint_lists.h
+++ b/scale/stand_ins/endpoint_lists.h
@@ -1,4 +1,4 @@
-// Endpoint lists of any size, as discovery sends them, and the versions that they go through.
+// Generates endpoint lists of any size in the format of discovery, and versions of them.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +10,26 @@
 
 namespace asterdrift::scale {
 
-// The port of endpoints to which nothing connects.
+// The port of listed endpoints to which no test or benchmark connects.
 constexpr int kUnusedEndpointPort = 10000;
 
-// Name of the endpoint at an index, the same in every list. All names have the same length.
+// The name of the endpoint at an index, the same in every list. All names have the same length.
 std::string endpoint_name(std::size_t index);
 
-// Zones of the endpoints.
+// The zones of the endpoints; consecutive indices take them in turn.
 const std::vector<std::string>& endpoint_zones();
 
-// A snapshot of so many ready endpoints at one port, without an end of line.
+// A snapshot of `endpoints` ready endpoints that all have the same port, without a newline at its end.
 std::string snapshot_text(std::uint64_t version, std::size_t endpoints, int endpoint_port);
 
-// An incremental list with one endpoint, without an end of line.
+// An incremental list with one endpoint, without a newline at its end.
 std::string change_text(std::uint64_t version, std::size_t index, int endpoint_port,
                         const std::string& health);
 
-// An endpoint list whose endpoints drain and become ready again, each time as a new version.
+// An endpoint list in which each change of an endpoint, to draining or back to ready, makes a new version.
 class VersionedEndpointList {
  public:
-  using Text = std::shared_ptr<const std::string>;
+  using SharedText = std::shared_ptr<const std::string>;
 
   VersionedEndpointList(std::size_t endpoints, int endpoint_port);
 
@@ -38,15 +38,15 @@
   bool is_draining(std::size_t index) const { return draining_[index]; }
   void set_draining(std::size_t index, bool draining);
 
-  // The complete list of this version.
-  Text snapshot();
+  // The complete list at the current version.
+  SharedText snapshot();
 
-  // The latest change alone.
+  // An incremental list with the latest change. At least one change must have been made.
   std::string latest_change() const;
 
-  // One list with what has changed since a version; empty where nothing has, null where that is no longer
-  // known.
-  Text changes_since(std::uint64_t version) const;
+  // One incremental list with all endpoints that have changed since `version`. An empty text if none has;
+  // null if the version is unknown or the history no longer reaches back to it.
+  SharedText changes_since(std::uint64_t version) const;
 
  private:
   struct Change {
@@ -59,7 +59,7 @@
   std::vector<bool> draining_;
   std::uint64_t version_ = 1;
   std::deque<Change> history_;
-  Text snapshot_;  // of this version; null until it is needed
+  SharedText snapshot_;  // cached for the current version; null until requested
 };
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/endpoint_updates.cpp
+++ b/scale/stand_ins/endpoint_updates.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists as events of the balancer.
+// Conversion of endpoint lists to events of the balancer.
 #include "scale/stand_ins/endpoint_updates.h"
 
 #include "node/config/endpoint_list_reader.h"
--- a/scale/stand_ins/endpoint_updates.h
+++ b/scale/stand_ins/endpoint_updates.h
@@ -1,4 +1,4 @@
-// Endpoint lists as events of the balancer.
+// Conversion of endpoint lists to events of the balancer.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 balancer::EndpointUpdate to_endpoint_update(const node::config::EndpointList& list);
 
-// A snapshot of so many ready endpoints to which nothing connects.
+// A snapshot of `endpoints` ready endpoints with the port kUnusedEndpointPort.
 balancer::EndpointUpdate snapshot_update(std::size_t endpoints);
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/event_loop.cpp
+++ b/scale/stand_ins/event_loop.cpp
@@ -1,4 +1,4 @@
-// Running an event loop until a condition holds.
+// Runs an event loop until a condition holds or a time has passed.
 #include "scale/stand_ins/event_loop.h"
 
 #include <chrono>
@@ -8,22 +8,23 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr std::chrono::milliseconds kCheckPeriod{50};  // of the limit, while no event comes
+// How often the time limit is checked while there are no events.
+constexpr std::chrono::milliseconds kLimitCheckPeriod{50};
 
 }  // namespace
 
-bool run_until(boost::asio::io_context& io, double limit_s, const std::function<bool()>& condition) {
+bool run_until(boost::asio::io_context& io, Seconds time_limit, const std::function<bool()>& condition) {
   const test_support::Stopwatch stopwatch;
   while (!condition()) {
-    if (stopwatch.seconds() > limit_s) return false;
+    if (stopwatch.seconds() > time_limit) return false;
     io.restart();
-    io.run_one_for(kCheckPeriod);
+    io.run_one_for(kLimitCheckPeriod);
   }
   return true;
 }
 
-void run_for(boost::asio::io_context& io, double duration_s) {
-  run_until(io, duration_s, [] { return false; });
+void run_for(boost::asio::io_context& io, Seconds duration) {
+  run_until(io, duration, [] { return false; });
 }
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/event_loop.h
+++ b/scale/stand_ins/event_loop.h
@@ -1,15 +1,18 @@
-// Running an event loop until a condition holds.
+// Runs an event loop until a condition holds or a time has passed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::scale {
 
-// Handles events until the condition holds. Returns whether it did so within the limit.
-bool run_until(boost::asio::io_context& io, double limit_s, const std::function<bool()>& condition);
+// Handles events until the condition holds, at most for `time_limit`. Returns whether the condition held in
+// time.
+bool run_until(boost::asio::io_context& io, Seconds time_limit, const std::function<bool()>& condition);
 
-// Handles events for so long.
-void run_for(boost::asio::io_context& io, double duration_s);
+// Handles events for `duration`.
+void run_for(boost::asio::io_context& io, Seconds duration);
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/forwarding_proxy.cpp
+++ b/scale/stand_ins/forwarding_proxy.cpp
@@ -1,5 +1,5 @@
-// A proxy that forwards bytes, each connection to one of its own: the minimum that anything between a client
-// and a server costs on one thread.
+// A single-threaded TCP proxy that copies bytes unparsed, with one server connection for each client
+// connection. Its cost is the lower bound for any intermediary between client and server on one thread.
 #include "scale/stand_ins/forwarding_proxy.h"
 
 #include <array>
@@ -18,11 +18,11 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kForwardBuffer = 16384;  // bytes
+constexpr std::size_t kForwardBufferBytes = 16384;
 
 }  // namespace
 
-// A client's connection and the one to the server.
+// Copies bytes in both directions between a client's connection and its server connection.
 class ForwardingProxy::Tunnel : public std::enable_shared_from_this<Tunnel> {
  public:
   Tunnel(asio::io_context& io, tcp::socket client) : client_(std::move(client)), server_(io) {}
@@ -37,7 +37,7 @@
   }
 
  private:
-  using Buffer = std::array<char, kForwardBuffer>;
+  using Buffer = std::array<char, kForwardBufferBytes>;
 
   void forward(tcp::socket& from, tcp::socket& to, Buffer& buffer) {
     from.async_read_some(asio::buffer(buffer), [self = shared_from_this(), &from, &to, &buffer](
--- a/scale/stand_ins/forwarding_proxy.h
+++ b/scale/stand_ins/forwarding_proxy.h
@@ -1,5 +1,5 @@
-// A proxy that forwards bytes, each connection to one of its own: the minimum that anything between a client
-// and a server costs on one thread.
+// A single-threaded TCP proxy that copies bytes unparsed, with one server connection for each client
+// connection. Its cost is the lower bound for any intermediary between client and server on one thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,6 +7,7 @@
 
 namespace asterdrift::scale {
 
+// Listens on a free port of loopback.
 class ForwardingProxy {
  public:
   ForwardingProxy(boost::asio::io_context& io, int server_port);
--- a/scale/stand_ins/measured_node.cpp
+++ b/scale/stand_ins/measured_node.cpp
@@ -1,4 +1,4 @@
-// The node's program under measurement, in a process of its own.
+// Runs the node's program in a child process for benchmarks.
 #include "scale/stand_ins/measured_node.h"
 
 #include <sys/stat.h>
@@ -19,29 +19,30 @@
 
 constexpr std::chrono::seconds kStartLimit{10};
 constexpr std::chrono::milliseconds kHealthCheckTimeout{1000};
-constexpr useconds_t kLogPollPeriod = 2000;      // us
-constexpr useconds_t kHealthCheckPeriod = 5000;  // us
-constexpr mode_t kPrivate = 0700;
+constexpr useconds_t kLogPollPeriodUs = 2000;
+constexpr useconds_t kHealthCheckPeriodUs = 5000;
+constexpr mode_t kOwnerOnlyMode = 0700;
 const char* const kConfigFile = "config.json";
 const char* const kLogFile = "log";
 const char* const kNodeTemporaryFolder = "own";
 
-// Writes what the program needs, and returns how to start it.
-test_support::Program prepare(const std::string& program, const NodeSetup& setup,
-                              const TemporaryFolder& folder) {
-  const std::string config_path = folder.path_of(kConfigFile);
-  const std::string temporary_path = folder.path_of(kNodeTemporaryFolder);
+// Writes the configuration file and creates the temporary folder of the node. Returns the program with its
+// environment variables.
+test_support::Program prepare_program(const std::string& program, const NodeSetup& setup,
+                                      const TemporaryFolder& folder) {
+  const std::string config_path = folder.path_to(kConfigFile);
+  const std::string temporary_path = folder.path_to(kNodeTemporaryFolder);
   std::ofstream config(config_path);
   config << config_text(setup) << std::flush;
   if (!config) throw std::system_error(errno, std::generic_category(), "write " + config_path);
-  if (mkdir(temporary_path.c_str(), kPrivate) != 0) {
+  if (mkdir(temporary_path.c_str(), kOwnerOnlyMode) != 0) {
     throw std::system_error(errno, std::generic_category(), "create folder " + temporary_path);
   }
   return {program, {{"GW_CONFIG", config_path}, {"TMPDIR", temporary_path}}, std::nullopt};
 }
 
-// The port in the line of the log that names it; 0 where that line is not there or incomplete.
-int listening_port(const std::string& log) {
+// Finds the port in the node's log; 0 if the line with the port is missing or incomplete.
+int parse_listening_port(const std::string& log) {
   const std::string label = "listening on 127.0.0.1:";
   const std::size_t at = log.find(label);
   if (at == std::string::npos || log.find('\n', at) == std::string::npos) return 0;
@@ -52,18 +53,18 @@
 
 MeasuredNode::MeasuredNode(const std::string& program, const NodeSetup& setup)
     : folder_("scale_node_"),
-      child_(prepare(program, setup, folder_), folder_.path_of(kLogFile)),
+      child_(prepare_program(program, setup, folder_), folder_.path_to(kLogFile)),
       port_(wait_for_port()) {}
 
 int MeasuredNode::wait_for_port() const {
   const test_support::Stopwatch stopwatch;
   for (;;) {
-    const std::string log = test_support::read_text_file(folder_.path_of(kLogFile));
-    if (const int port = listening_port(log); port != 0) return port;
+    const std::string log = test_support::read_text_file(folder_.path_to(kLogFile));
+    if (const int port = parse_listening_port(log); port != 0) return port;
     if (stopwatch.seconds() > static_cast<double>(kStartLimit.count())) {
       throw test_support::TimeoutError("the node's port in its log: " + log, kStartLimit);
     }
-    usleep(kLogPollPeriod);
+    usleep(kLogPollPeriodUs);
   }
 }
 
@@ -73,14 +74,14 @@
   if (connection.is_idle(kHealthCheckTimeout)) return false;
   return connection.read_until("\r\n").find(" 200 ") != std::string::npos;
 } catch (const std::system_error&) {
-  return false;  // not reachable
+  return false;  // the node accepts no connections or closed this one
 }
 
-bool MeasuredNode::wait_ready(double limit_s) const {
+bool MeasuredNode::wait_ready(Seconds time_limit) const {
   const test_support::Stopwatch stopwatch;
   while (!is_ready()) {
-    if (stopwatch.seconds() > limit_s) return false;
-    usleep(kHealthCheckPeriod);
+    if (stopwatch.seconds() > time_limit) return false;
+    usleep(kHealthCheckPeriodUs);
   }
   return true;
 }
--- a/scale/stand_ins/node_setup.cpp
+++ b/scale/stand_ins/node_setup.cpp
@@ -1,4 +1,4 @@
-// Configuration of a node in the scale tests, simulated or real.
+// Configuration of a simulated or real node in benchmarks and guards.
 #include "scale/stand_ins/node_setup.h"
 
 #include <sstream>
@@ -8,7 +8,8 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr std::size_t kQuotaPerReplica = 10000;  // requests per second
+// The part of the tenant's quota that each replica adds.
+constexpr std::size_t kReplicaQuotaRequestsPerSecond = 10000;
 
 }  // namespace
 
@@ -33,7 +34,7 @@
       << R"(,"registryMode":")" << (is_pushed ? "automatic" : "subscribe")
       << R"(","azs":["a","b","c"],"bounds":{"cancel":true,"maxAttempts":4,"retryAfter":true,)"
       << R"("maxRetryAfter":2.0,"dialTimeout":0.25,"idleClose":30},)"
-      << R"("realms":[{"name":"acme","allowancePerS":)" << kQuotaPerReplica * setup.replicas
+      << R"("realms":[{"name":"acme","allowancePerS":)" << kReplicaQuotaRequestsPerSecond * setup.replicas
       << R"(}],"rules":{"askWithin":6},"categories":[)"
       << R"({"name":"read","aim":2,"giveUp":5,"lateWorth":0.5,"effect":"safe"}]}})";
   return out.str();
--- a/scale/stand_ins/node_setup.h
+++ b/scale/stand_ins/node_setup.h
@@ -1,4 +1,4 @@
-// Configuration of a node in the scale tests, simulated or real.
+// Configuration of a simulated or real node in benchmarks and guards.
 #pragma once
 
 #include <cstddef>
@@ -9,13 +9,13 @@
 
 namespace asterdrift::scale {
 
-// How a node gets its endpoint lists.
+// When a node starts to watch discovery for endpoint lists.
 enum class ListDelivery {
-  kPushed,     // watches by itself
-  kSubscribed  // watches once the balancer requests it
+  kPushed,     // at its start
+  kSubscribed  // when the balancer requests a watch
 };
 
-// What distinguishes the nodes of the scale tests; all else is the same for each.
+// The settings in which the nodes of benchmarks and guards differ; all others are the same for each node.
 struct NodeSetup {
   int discovery_port = 0;
   std::size_t replica_index = 0;
@@ -26,14 +26,14 @@
   int memory_mb = 192;
 };
 
-// A node that is one of `replicas`, with a seed of its own.
+// Setup of one of `replicas` replicas, with a seed derived from its index.
 NodeSetup replica_setup(int discovery_port, std::size_t replica_index, std::size_t replicas,
                         ListDelivery list_delivery);
 
-// The node's configuration file.
+// The text of the node's configuration file.
 std::string config_text(const NodeSetup& setup);
 
-// The settings that its balancer gets.
+// The settings of the node's balancer.
 balancer::Settings balancer_settings(const NodeSetup& setup);
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/server_process.cpp
+++ b/scale/stand_ins/server_process.cpp
@@ -1,4 +1,4 @@
-// Stand-ins that serve on a port, each in a process of its own.
+// Stand-ins that serve on a port, each in its own child process.
 #include "scale/stand_ins/server_process.h"
 
 #include <fcntl.h>
@@ -37,7 +37,7 @@
   write_end = test_support::FileDescriptor(ends[1]);
 }
 
-ServerProcess::ServerProcess(const Serve& serve)
+ServerProcess::ServerProcess(const ServeFunction& serve)
     : child_([&] { serve([&](int port) { write_port(pipe_.write_end.get(), port); }); }),
       port_(receive_port()) {}
 
@@ -54,11 +54,11 @@
   return port;
 }
 
-ServerProcess start_stand_in_server(double response_delay_s) {
+ServerProcess start_stand_in_server(Seconds response_delay) {
   return ServerProcess([=](const ServerProcess::AnnouncePort& announce_port) {
     raise_descriptor_limit();
     boost::asio::io_context io(1);
-    StandInServer server(io, response_delay_s);
+    StandInServer server(io, response_delay);
     announce_port(server.port());
     io.run();
   });
--- a/scale/stand_ins/server_process.h
+++ b/scale/stand_ins/server_process.h
@@ -1,4 +1,4 @@
-// Stand-ins that serve on a port, each in a process of its own.
+// Stand-ins that serve on a port, each in its own child process.
 #pragma once
 
 #include <sys/types.h>
@@ -6,31 +6,33 @@
 #include <functional>
 #include <stdexcept>
 
+#include "asterdrift/seconds.h"
 #include "support/child_process.h"
 #include "support/file_descriptor.h"
 
 namespace asterdrift::scale {
 
-// A stand-in's process has ended before it served.
+// Thrown when a stand-in's process ends before it announces its port.
 class ServerProcessError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A child process that serves on a port of its own choice, until this object ends.
+// A child process that serves on a port that it chooses, until this object is destroyed.
 class ServerProcess {
  public:
   using AnnouncePort = std::function<void(int port)>;
-  // Runs in the child: announces its port once, and serves.
-  using Serve = std::function<void(const AnnouncePort& announce_port)>;
+  // Runs in the child process: announces its port once, then serves.
+  using ServeFunction = std::function<void(const AnnouncePort& announce_port)>;
 
-  // Throws test_support::TimeoutError or ServerProcessError where the child announces no port.
-  explicit ServerProcess(const Serve& serve);
+  // Throws test_support::TimeoutError if the child does not announce a port in time, ServerProcessError if it
+  // ends before that.
+  explicit ServerProcess(const ServeFunction& serve);
   int port() const { return port_; }
   pid_t pid() const { return child_.pid(); }
 
  private:
-  // From the child to this process.
+  // Carries the announced port from the child to this process.
   struct Pipe {
     Pipe();
     test_support::FileDescriptor read_end, write_end;
@@ -42,10 +44,10 @@
   int port_;
 };
 
-// A StandInServer in a process of its own.
-ServerProcess start_stand_in_server(double response_delay_s);
+// Starts a StandInServer in a child process; a `response_delay` of 0 responds at once.
+ServerProcess start_stand_in_server(Seconds response_delay);
 
-// A ForwardingProxy in a process of its own.
+// Starts a ForwardingProxy in a child process.
 ServerProcess start_forwarding_proxy(int server_port);
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/simulated_node.cpp
+++ b/scale/stand_ins/simulated_node.cpp
@@ -1,5 +1,5 @@
-// A node without sockets to clients and servers: the real balancer and the real watch on discovery, many in
-// one process.
+// A node with the real balancer and the real watch on discovery, but without sockets to clients and servers,
+// so that one process can run many.
 #include "scale/stand_ins/simulated_node.h"
 
 #include <algorithm>
@@ -9,14 +9,15 @@
 #include <utility>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "node/timing/clock.h"
 #include "scale/stand_ins/endpoint_updates.h"
 
 namespace asterdrift::scale {
 namespace {
 
-constexpr double kRequestTimeout = 5;       // s
-constexpr double kResponseLatency = 0.001;  // s
+constexpr Seconds kRequestTimeout = 5;
+constexpr Seconds kResponseLatency = 0.001;
 
 }  // namespace
 
--- a/scale/stand_ins/simulated_node.h
+++ b/scale/stand_ins/simulated_node.h
@@ -1,5 +1,5 @@
-// A node without sockets to clients and servers: the real balancer and the real watch on discovery, many in
-// one process. Requests and their outcomes are events.
+// A node with the real balancer and the real watch on discovery, but without sockets to clients and servers,
+// so that one process can run many. Requests and their outcomes are passed to the balancer as events.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,26 +16,26 @@
 class SimulatedNode {
  public:
   struct Counts {
-    std::uint64_t snapshots = 0;          // received
-    std::uint64_t incremental_lists = 0;  // received
+    std::uint64_t snapshots = 0;          // received from discovery
+    std::uint64_t incremental_lists = 0;  // received from discovery
     std::uint64_t failed_watches = 0;
-    std::uint64_t watches = 0;   // that the balancer has requested
-    std::uint64_t attempts = 0;  // that the balancer has sent
+    std::uint64_t watches = 0;   // requested by the balancer
+    std::uint64_t attempts = 0;  // sent by the balancer
   };
   using ListHandler = std::function<void(SimulatedNode&)>;
 
-  // `on_list_applied` is called after the balancer has applied a list and its actions are done.
+  // `on_list_applied` is called after the balancer has applied a list and its resulting actions are executed.
   SimulatedNode(boost::asio::io_context& io, const std::string& config, ListHandler on_list_applied = {});
 
   void start();
   const Counts& counts() const { return counts_; }
 
-  // Version of the last list.
+  // The version of the last list received; 0 before the first.
   std::uint64_t list_version() const { return list_version_; }
   bool has_endpoints() const;
 
-  // Handles one request, whose attempt succeeds at once. Returns the endpoint of that attempt; empty where
-  // the request was rejected.
+  // Passes one request to the balancer, and reports success for its attempt at once. Returns the endpoint of
+  // the attempt, or an empty string if the balancer sent none.
   std::string handle_request();
 
  private:
@@ -53,7 +53,7 @@
   Counts counts_;
   std::uint64_t list_version_ = 0;
   std::uint64_t last_request_ = 0;
-  std::string attempted_endpoint_;  // of the request that is being handled
+  std::string attempted_endpoint_;  // of the current request's latest attempt; empty before the attempt
 };
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/stand_in_discovery.cpp
+++ b/scale/stand_ins/stand_in_discovery.cpp
@@ -1,4 +1,4 @@
-// A discovery on loopback: endpoint lists, watches, and what can go wrong with them.
+// A stand-in for discovery on loopback that serves endpoint lists and watches, and simulates faults.
 #include "scale/stand_ins/stand_in_discovery.h"
 
 #include <chrono>
@@ -11,10 +11,12 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
-using SharedPort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
+using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-constexpr int kBacklog = 4096;             // connections
-constexpr std::size_t kChangeStep = 7919;  // indices from one scheduled change to the next
+constexpr int kMaxPendingConnections = 4096;
+
+// Distance between the indices of the endpoints of consecutive scheduled changes.
+constexpr std::size_t kChangeIndexStep = 7919;
 
 }  // namespace
 
@@ -30,13 +32,13 @@
 void StandInDiscovery::listen() {
   tcp::acceptor acceptor(io_);
   acceptor.open(tcp::v4());
-  acceptor.set_option(SharedPort(true));
+  acceptor.set_option(ReusePort(true));
   acceptor.bind({asio::ip::address_v4::loopback(), static_cast<unsigned short>(port_)});
-  acceptor.listen(kBacklog);
+  acceptor.listen(kMaxPendingConnections);
   port_ = acceptor.local_endpoint().port();
   if (!port_holder_.is_open()) {
     port_holder_.open(tcp::v4());
-    port_holder_.set_option(SharedPort(true));
+    port_holder_.set_option(ReusePort(true));
     port_holder_.bind(acceptor.local_endpoint());
   }
   acceptor_ = std::move(acceptor);
@@ -72,8 +74,9 @@
   state_.list.set_draining(index, draining);
   if (state_.mode == DiscoveryMode::kHang) return;
   const auto event = std::make_shared<std::string>(watch_event(state_.list.latest_change()));
-  const std::vector<std::shared_ptr<DiscoveryConnection>> open(connections_.begin(), connections_.end());
-  for (const auto& connection : open) {
+  const std::vector<std::shared_ptr<DiscoveryConnection>> open_connections(connections_.begin(),
+                                                                           connections_.end());
+  for (const auto& connection : open_connections) {
     if (!connection->is_watching()) continue;
     state_.counts.incremental_lists += 1;
     connection->send(event);
@@ -92,7 +95,7 @@
                            std::chrono::duration_cast<std::chrono::nanoseconds>(period));
   change_timer_.async_wait([this](const error_code& error) {
     if (error || change_period_ == 0) return;
-    const std::size_t index = scheduled_changes_++ * kChangeStep % state_.list.size();
+    const std::size_t index = scheduled_changes_++ * kChangeIndexStep % state_.list.size();
     set_draining(index, !state_.list.is_draining(index));
     schedule_change();
   });
--- a/scale/stand_ins/stand_in_discovery.h
+++ b/scale/stand_ins/stand_in_discovery.h
@@ -1,5 +1,5 @@
-// A discovery on loopback: endpoint lists, watches, and what can go wrong with them. It counts what it
-// receives and sends.
+// A stand-in for discovery on loopback that serves endpoint lists and watches, simulates faults, and counts
+// the messages that it receives and sends.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,6 +11,7 @@
 #include <set>
 #include <vector>
 
+#include "asterdrift/seconds.h"
 #include "scale/stand_ins/discovery_connection.h"
 
 namespace asterdrift::scale {
@@ -22,17 +23,19 @@
 
   int port() const { return port_; }
   const DiscoveryCounts& counts() const { return state_.counts; }
-  // When each request came, in s on the steady clock; the first thousand.
-  const std::vector<double>& polled_at() const { return state_.polled_at; }
+  // Arrival times of the first 1000 requests, on the steady clock.
+  const std::vector<Seconds>& polled_at() const { return state_.polled_at; }
   std::uint64_t version() const { return state_.list.version(); }
 
-  // Closes the open connections, except for kHang, which sends nothing more on them.
+  // Closes the open connections, unless the new mode is kHang, which leaves them open and sends nothing more.
   void set_mode(DiscoveryMode mode);
 
-  // One endpoint drains, or is ready again: a new version, which is sent to all watches.
+  // Makes a new version of the list, in which one endpoint is draining or ready, and sends the change to all
+  // watches.
   void set_draining(std::size_t index, bool draining);
 
-  // Changes per second from now on, at one endpoint after the other; 0: none.
+  // Sets how many endpoints per second change between ready and draining from now on, one after the other; 0
+  // stops the changes.
   void set_change_rate(double changes_per_second);
 
  private:
@@ -44,10 +47,10 @@
   int port_ = 0;
   DiscoveryState state_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::ip::tcp::socket port_holder_;  // reserves the port while nothing listens on it
+  boost::asio::ip::tcp::socket port_holder_;  // bound to the port, reserves it while no socket listens
   std::set<std::shared_ptr<DiscoveryConnection>> connections_;
   boost::asio::steady_timer change_timer_;
-  double change_period_ = 0;  // s; 0: no changes
+  Seconds change_period_ = 0;  // 0: no changes
   std::size_t scheduled_changes_ = 0;
 };
 
--- a/scale/stand_ins/stand_in_server.cpp
+++ b/scale/stand_ins/stand_in_server.cpp
@@ -1,4 +1,4 @@
-// A server behind a node: it responds to each request with 200.
+// A stand-in for the servers behind a node that responds to each request with 200.
 #include "scale/stand_ins/stand_in_server.h"
 
 #include <array>
@@ -20,11 +20,11 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kReadBuffer = 8192;   // bytes
-constexpr std::size_t kResponseBody = 200;  // bytes
+constexpr std::size_t kReadBufferBytes = 8192;
+constexpr std::size_t kResponseBodyBytes = 200;
 
 const std::string kResponse = test_support::with_content_length(
-    "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n", std::string(kResponseBody, 'x'));
+    "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n", std::string(kResponseBodyBytes, 'x'));
 
 }  // namespace
 
@@ -34,9 +34,9 @@
 
 class StandInServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(tcp::socket socket, double response_delay_s)
+  Connection(tcp::socket socket, Seconds response_delay)
       : socket_(std::move(socket)),
-        response_delay_s_(response_delay_s),
+        response_delay_(response_delay),
         response_timer_(socket_.get_executor()) {}
 
   void read() {
@@ -53,8 +53,8 @@
     const std::size_t size = test_support::complete_message_size(received_);
     if (size == 0) return read();
     received_.erase(0, size);
-    if (response_delay_s_ <= 0) return respond();
-    const std::chrono::duration<double> delay(response_delay_s_);
+    if (response_delay_ <= 0) return respond();
+    const std::chrono::duration<double> delay(response_delay_);
     response_timer_.expires_after(std::chrono::duration_cast<std::chrono::nanoseconds>(delay));
     response_timer_.async_wait([self = shared_from_this()](const error_code& error) {
       if (!error) self->respond();
@@ -69,14 +69,14 @@
   }
 
   tcp::socket socket_;
-  double response_delay_s_;
+  Seconds response_delay_;
   asio::steady_timer response_timer_;
-  std::array<char, kReadBuffer> buffer_;
+  std::array<char, kReadBufferBytes> buffer_;
   std::string received_;
 };
 
-StandInServer::StandInServer(asio::io_context& io, double response_delay_s)
-    : acceptor_(io, loopback_address(0)), response_delay_s_(response_delay_s) {
+StandInServer::StandInServer(asio::io_context& io, Seconds response_delay)
+    : acceptor_(io, loopback_address(0)), response_delay_(response_delay) {
   accept();
 }
 
@@ -85,7 +85,7 @@
     if (error == asio::error::operation_aborted) return;
     if (!error) {
       socket.set_option(tcp::no_delay(true));
-      std::make_shared<Connection>(std::move(socket), response_delay_s_)->read();
+      std::make_shared<Connection>(std::move(socket), response_delay_)->read();
     }
     accept();
   });
--- a/scale/stand_ins/stand_in_server.h
+++ b/scale/stand_ins/stand_in_server.h
@@ -1,19 +1,21 @@
-// A server behind a node: it responds to each request with 200.
+// A stand-in for the servers behind a node that responds to each request with 200.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::scale {
 
-// An address on loopback; port 0 is any free port.
+// A TCP address on loopback; binding to port 0 picks a free port.
 boost::asio::ip::tcp::endpoint loopback_address(int port);
 
 // Listens on a free port of loopback.
 class StandInServer {
  public:
-  // `response_delay_s` 0: responds at once.
-  StandInServer(boost::asio::io_context& io, double response_delay_s);
+  // A `response_delay` of 0 responds at once.
+  StandInServer(boost::asio::io_context& io, Seconds response_delay);
   int port() const { return acceptor_.local_endpoint().port(); }
 
  private:
@@ -21,7 +23,7 @@
   void accept();
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  double response_delay_s_;
+  Seconds response_delay_;
 };
 
 }  // namespace asterdrift::scale
--- a/scale/stand_ins/temporary_folder.cpp
+++ b/scale/stand_ins/temporary_folder.cpp
@@ -1,4 +1,4 @@
-// A folder of this process, removed with all that is in it at the end of the object's lifetime.
+// A temporary folder that is removed, with its contents, when the object is destroyed.
 #include "scale/stand_ins/temporary_folder.h"
 
 #include <cerrno>
--- a/scale/stand_ins/temporary_folder.h
+++ b/scale/stand_ins/temporary_folder.h
@@ -1,4 +1,4 @@
-// A folder of this process, removed with all that is in it at the end of the object's lifetime.
+// A temporary folder that is removed, with its contents, when the object is destroyed.
 #pragma once
 
 #include <string>
@@ -7,13 +7,15 @@
 
 class TemporaryFolder {
  public:
-  // `prefix` begins the folder's name. Throws std::system_error.
+  // Creates a folder whose name begins with `prefix` in the system's folder for temporary files. Throws
+  // std::system_error if that fails.
   explicit TemporaryFolder(const std::string& prefix);
   TemporaryFolder(const TemporaryFolder&) = delete;
   TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   ~TemporaryFolder();
 
-  std::string path_of(const std::string& name) const { return path_ + "/" + name; }
+  // The path of a file or folder inside this folder.
+  std::string path_to(const std::string& name) const { return path_ + "/" + name; }
 
  private:
   std::string path_;
