--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -68,8 +68,8 @@
   return admitted;
 }
 
-// The suppression factor is cached for 100 ms: a burst within that time meets the factor from before the
-// burst.
+// The suppression factor is cached for 100 ms, so a burst within that time is judged by the factor from
+// before the burst.
 TEST(AdmissionControl, SuppressionFactorIsCached) {
   Settings settings = settings_with_quota(100);
   settings.over_quota_priority_weight = 0;
@@ -78,7 +78,7 @@
   const double limit = replica.balancer.tenant_metrics(0, 0).rate_limit;
   const int soft_limit = static_cast<int>(1.5 * limit);
   EXPECT_EQ(send_at_once(replica, 0, soft_limit, "fill"), soft_limit);
-  // As when the burst began, a third is denied.
+  // The cached factor still denies a third of the requests, as at the beginning of this burst.
   EXPECT_NEAR(send_at_once(replica, 0.01, 1000, "cached"), 667, 60);
   const double factor = replica.balancer.tenant_metrics(0.12, 0).suppression_factor;
   EXPECT_GT(factor, 0.85);
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -15,7 +15,7 @@
 
 // Sends a request whose body is still arriving. Returns the address of the request's endpoint, which is empty
 // if the request was rejected.
-std::string request_with_arriving_body(TestReplica& replica, const std::string& id) {
+std::string send_request_with_arriving_body(TestReplica& replica, const std::string& id) {
   Request request;
   request.id = id;
   request.time_left = 6;
@@ -45,7 +45,7 @@
   replica.handle(0, make_snapshot(4));
   int sent = 0;
   for (int i = 0; i < 500; ++i)
-    sent += request_with_arriving_body(replica, std::to_string(i)).empty() ? 0 : 1;
+    sent += send_request_with_arriving_body(replica, std::to_string(i)).empty() ? 0 : 1;
   EXPECT_EQ(sent, 500) << "slow clients do not use up the limit";
   for (int i = 0; i < 500; ++i) replica.handle(1, RequestBodySent{std::to_string(i), 0});
   EXPECT_TRUE(actions_of_type<SendAttempt>(replica.request("next")).empty()) << "complete requests count";
@@ -56,7 +56,7 @@
 TEST(ConcurrencyLimit, ReusedSlotDoesNotCountRequestsOfEarlierEndpoint) {
   TestReplica replica(basic_settings());
   replica.handle(0, make_snapshot(1));
-  ASSERT_EQ(request_with_arriving_body(replica, "a"), "s0");
+  ASSERT_EQ(send_request_with_arriving_body(replica, "a"), "s0");
   EndpointUpdate replacement;
   replacement.endpoints = {make_endpoint(1)};
   replica.handle(0, replacement);
@@ -112,7 +112,7 @@
 struct ReplicaTraffic {
   int replicas;
   int endpoints;
-  double requests_per_second;  // of this replica, at random times
+  double requests_per_second;  // of the one replica, at random times
   Seconds latency;             // every fourth response takes 2.5 times as long, the others half as long
   Seconds duration;
 };
--- a/tests/balancer/connect_failure_test.cpp
+++ b/tests/balancer/connect_failure_test.cpp
@@ -9,7 +9,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-// Sends a request whose first attempts have these outcomes and whose next attempt succeeds. Returns the
+// Sends a request whose first attempts end with `outcomes` and whose next attempt succeeds. Returns the
 // number of attempts.
 int count_attempts(TestReplica& replica, const std::string& id, const std::vector<Outcome>& outcomes) {
   int attempts = 0;
@@ -33,7 +33,8 @@
   return replica;
 }
 
-// The retry budget is a fifth of the requests. Here every request needs a second connection.
+// The retry budget allows retries of a fifth of the requests, but here every request needs a second
+// connection attempt.
 TEST(ConnectFailure, IsNotChargedToRetryBudget) {
   TestReplica replica = replica_beyond_first_tier();
   for (int i = 0; i < 60; ++i) {
--- a/tests/balancer/endpoint_index_test.cpp
+++ b/tests/balancer/endpoint_index_test.cpp
@@ -169,7 +169,7 @@
   EXPECT_EQ(sampled.size(), 7000U);
 }
 
-// Also adds the number of attempts to `attempts`.
+// Expects all attempts to go to ready endpoints. Adds the number of attempts to `attempts`.
 void expect_attempts_at_ready_endpoints(const std::vector<Action>& actions, const ReferenceEndpointList& list,
                                         std::size_t& attempts) {
   for (const SendAttempt& send : actions_of_type<SendAttempt>(actions)) {
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -1,5 +1,5 @@
-// Large fleets: the cost of one update and of one request, in examined endpoints and allocated bytes, and the
-// endpoints that requests are sent to.
+// Large fleets: the cost of one update and of one request, in endpoint records read and bytes allocated, and
+// the endpoints that requests are sent to.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -37,9 +37,10 @@
 namespace asterdrift::balancer {
 namespace {
 
-// 7 x kMaxExaminedEndpoints to search, and some more to count the request in flight.
+// A request reads up to 7 x kMaxExaminedEndpoints records to find an endpoint, and some more records to count
+// itself in flight.
 constexpr std::size_t kMaxRecordsReadByRequest = 600;
-// In five indexes and in a small subset.
+// An update reads records in five indexes and in a small subset.
 constexpr std::size_t kMaxRecordsReadByUpdate = 250;
 constexpr std::size_t kMaxBytesAllocatedByUpdate = 20000;
 
@@ -108,7 +109,7 @@
   }
 }
 
-TEST(EndpointScale, RequestExaminesBoundedNumberOfEndpointsAlsoWhenNoneIsHealthy) {
+TEST(EndpointScale, RequestCostIsBoundedWhileAllEndpointsWarmUp) {
   for (const int replicas : {2000, 4}) {
     for (const int endpoints : {700, 7000, 27000}) {
       TestReplica replica = replica_with_starting_fleet(replicas, endpoints);
@@ -263,7 +264,7 @@
     const std::string id = std::to_string(i);
     const std::uint64_t records_read_before = records_read(replica);
     const std::vector<SendAttempt> sent = actions_of_type<SendAttempt>(replica.request(id));
-    // Requests that examine fewer endpoints are rejected before an endpoint is searched for.
+    // A request that reads fewer records is rejected before the search for an endpoint begins.
     if (records_read(replica) - records_read_before >= 4 * kMaxExaminedEndpoints) ++searches;
     if (sent.empty()) continue;
     replica.end_attempt(id, Outcome::kSuccess);
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -18,7 +18,7 @@
     ASSERT_EQ(timers.size(), 1U);
     EXPECT_GT(timers[0].at, now);
     EXPECT_LE(timers[0].at, now + 5)
-        << "within half of poll_within, after which an update counts as notified";
+        << "half of poll_within, the time after which a replica counts as notified of an update";
     now = timers[0].at;
     EXPECT_EQ(actions_of_type<WatchEndpoints>(replica.handle(now, TimerFired{timers[0].token})).size(), 1U);
   }
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -97,7 +97,7 @@
   EXPECT_EQ(first_attempts, 200);
 }
 
-TEST(OutlierDetection, ViewCountsUnavailableEndpoints) {
+TEST(OutlierDetection, MetricsCountUnavailableEndpoints) {
   TestReplica replica(basic_settings());
   EndpointUpdate snapshot = make_snapshot(5);
   snapshot.endpoints[4].state = EndpointState::kDraining;
--- a/tests/balancer/random_walk_test.cpp
+++ b/tests/balancer/random_walk_test.cpp
@@ -17,7 +17,9 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr Seconds kMaxResponseDelay = 0.15;  // after the deadline; steps of the walk are up to 0.12 s apart
+// A request may get its response this long after its deadline, because steps of the walk are up to 0.12 s
+// apart.
+constexpr Seconds kMaxResponseDelay = 0.15;
 constexpr std::size_t kEndpoints = 14;
 
 // Sends random events to one replica and checks each of its actions.
--- a/tests/balancer/rate_limit_feedback_test.cpp
+++ b/tests/balancer/rate_limit_feedback_test.cpp
@@ -57,7 +57,7 @@
 
 // A rate limit that fell with each error would make a tier reject most requests although it has the capacity
 // for all of them.
-TEST(RateLimitFeedback, OtherRequestsAreServedWhileHalfOfThemFail) {
+TEST(RateLimitFeedback, OtherRequestsAreServedWhileHalfOfAttemptsFail) {
   for (const int failing_tier : {0, 1}) {
     for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNotIdempotent}) {
       for (const Outcome outcome : {Outcome::kServerError, Outcome::kConnectionReset}) {
--- a/tests/balancer/retry_depth_test.cpp
+++ b/tests/balancer/retry_depth_test.cpp
@@ -16,7 +16,7 @@
 constexpr int kTiers = 28;
 constexpr double kRetryBudgetPerSuccess = 0.2;
 constexpr int kInitialRetryBudget = 5;  // retries of each replica
-// Including attempts whose connection failed, the bound of attempts is larger by this factor.
+// The bound on attempts is larger by this factor if attempts whose connection failed are included.
 constexpr double kMaxConnectFailureFactor = 1.1;
 
 enum class FailingTiers { kEach, kLast, kMiddle };
@@ -41,11 +41,11 @@
 CallChainScenario make_scenario(FailingTiers failing, Outcome outcome, double fraction, bool has_quota) {
   CallChainScenario scenario;
   scenario.tiers = kTiers;
-  scenario.request_rate = 30;
+  scenario.requests_per_second = 30;
   scenario.duration = 8;
   scenario.settings = basic_settings();
   scenario.settings.max_attempts = 5;
-  if (has_quota) scenario.settings.tenants = {{scenario.request_rate}};
+  if (has_quota) scenario.settings.tenants = {{scenario.requests_per_second}};
   scenario.failure_model = [=](int tier, Seconds, double draw) {
     const int failing_tier = failing == FailingTiers::kLast ? kTiers - 1 : kTiers / 2;
     const bool may_fail = failing == FailingTiers::kEach || tier == failing_tier;
@@ -91,7 +91,8 @@
   const CallChainScenario scenario = make_scenario(failing, type.outcome, rate.fraction, has_quota);
   const CallChainCounts counts = SimulatedCallChain(scenario).run();
   print_table_row(failing, type, rate, has_quota, counts);
-  // Retries after a connect failure are free, because a failed connection causes no work for a server.
+  // Retries after a connect failure are free, and not among the counted retries, because a failed connection
+  // causes no work for a server.
   for (std::size_t tier = 0; tier < kTiers; ++tier) {
     const int replicas = tier == 0 ? 1 : scenario.servers_per_tier;
     EXPECT_LE(counts.tiers[tier].retries, kRetryBudgetPerSuccess * counts.tiers[tier].successful_attempts +
@@ -123,8 +124,8 @@
 }
 
 // A retry budget that grew with the attempts sent instead of with successes would grow with the attempts of
-// the tier above, to 1.2 to the power of the depth. In these 8 s most of the attempts beyond one for each
-// request come from the initial budgets.
+// the tier above, to 1.2 to the power of the depth. Within the 8 s of a run, most of the attempts beyond one
+// for each request come from the initial budgets.
 TEST(RetryDepth, AttemptsAreBoundedWhenLastTierFails) {
   expect_bounded_attempts(FailingTiers::kLast, {{0.1, "tenth", 1.2}, {0.5, "half", 2.3}, {1, "all", 2.65}});
 }
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -105,8 +105,8 @@
   }
 }
 
-// Next to congested servers a starting server responds as fast as they do, which must not be taken for spare
-// capacity.
+// Next to congested servers a starting server responds as fast as they do and therefore gets more requests,
+// but still no more than its budget.
 TEST(SlowStartFleet, CongestedEndpointsDoNotRaiseBudget) {
   const std::pair<Fault, double> faults[] = {{Fault::kPausing, 0.25}, {Fault::kSlow, 0.4}};
   for (const SlowStartSettings& settings :
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr int kReplicas = 10;
 constexpr int kEndpoints = 10;
-constexpr double kRequestsPerSecond = 20;  // of a replica, and of an endpoint over all replicas
+constexpr double kRequestsPerSecond = 20;  // from each replica, and to each endpoint from all replicas
 constexpr Seconds kRunStartsAt = 100;
 constexpr Seconds kRunDuration = 40;
 constexpr Seconds kStartedAt = 109;   // start of the starting endpoint
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -21,8 +21,8 @@
   double other = 0;
 };
 
-// Measures to which zones a replica of zone 0 sends its requests. `zones` holds the zones of the endpoints 0,
-// 1, ...
+// Measures to which zones a replica of zone 0 sends its requests. `zones` holds the zone of each endpoint, in
+// order of the endpoints' numbers.
 ZoneFractions measure_zone_fractions(const std::vector<int>& zones,
                                      const std::function<Seconds(int zone)>& latency) {
   Settings settings = basic_settings();
--- a/tests/balancer/tenant_rate_limit_test.cpp
+++ b/tests/balancer/tenant_rate_limit_test.cpp
@@ -31,8 +31,8 @@
   EXPECT_GE(replica.balancer.tenant_metrics(replica.now, 0).rate_limit, 100);
 }
 
-// Sends requests. Every sixth response takes 1.5 s and the others 0.3 s. Returns the number of rejected
-// requests.
+// Sends requests with a latency objective of 2 s. Every sixth response takes 1.5 s, which counts as overload,
+// the others take 0.3 s. Returns the number of rejected requests.
 int send_load_with_slow_responses(TestReplica& replica, int requests, double rate) {
   int rejected = 0;
   for (int i = 0; i < requests; ++i) {
--- a/tests/support/balancer_fixture.cpp
+++ b/tests/support/balancer_fixture.cpp
@@ -1,3 +1,4 @@
+// Settings, endpoints and a replica driver, shared by the tests of the decision module.
 #include "support/balancer_fixture.h"
 
 namespace asterdrift::balancer {
--- a/tests/support/event_digest.cpp
+++ b/tests/support/event_digest.cpp
@@ -1,3 +1,4 @@
+// A digest of a sequence of values, for comparing the decisions of two runs.
 #include "support/event_digest.h"
 
 #include <cmath>
--- a/tests/support/event_queue.cpp
+++ b/tests/support/event_queue.cpp
@@ -1,3 +1,4 @@
+// Event queue of a simulation in virtual time.
 #include "support/event_queue.h"
 
 #include <utility>
--- a/tests/support/random_endpoint_updates.cpp
+++ b/tests/support/random_endpoint_updates.cpp
@@ -1,3 +1,4 @@
+// Large fleets, random endpoint updates, and a reference list of the endpoints that result from the updates.
 #include "support/random_endpoint_updates.h"
 
 #include <algorithm>
--- a/tests/support/random_event_stream.cpp
+++ b/tests/support/random_event_stream.cpp
@@ -1,3 +1,4 @@
+// A long random stream of valid events for one Balancer, and a digest of its decisions.
 #include "support/random_event_stream.h"
 
 #include <algorithm>
@@ -82,8 +83,8 @@
   if (request.body_arriving) handle(RequestBodySent{request.id, 0});
 }
 
-// Makes about a third of the endpoints unresponsive or fast again: the beginning or the
-// end of a slowdown that many endpoints share.
+// Makes about a third of the endpoints unresponsive or fast again: the beginning or the end of a slowdown
+// that many endpoints share.
 void RandomEventStream::change_random_latencies() {
   for (SimulatedEndpoint& endpoint : endpoints_) {
     if (random_.below(3) > 0) continue;
--- a/tests/support/simulated_call_chain.cpp
+++ b/tests/support/simulated_call_chain.cpp
@@ -1,3 +1,4 @@
+// Simulation of a chain of services in virtual time.
 #include "support/simulated_call_chain.h"
 
 #include <utility>
@@ -37,15 +38,15 @@
 }
 
 CallChainCounts SimulatedCallChain::run() {
-  const int requests = static_cast<int>(scenario_.request_rate * scenario_.duration);
+  const int requests = static_cast<int>(scenario_.requests_per_second * scenario_.duration);
   for (int i = 0; i < requests; ++i) {
-    queue_.schedule(1 + i / scenario_.request_rate, [this] { send_first_request(); });
+    queue_.schedule(1 + i / scenario_.requests_per_second, [this] { send_request_to_first_tier(); });
   }
   queue_.run_until();
   return counts_;
 }
 
-void SimulatedCallChain::send_first_request() {
+void SimulatedCallChain::send_request_to_first_tier() {
   ++counts_.requests;
   send_request(0, 0, scenario_.settings.classes[0].timeout,
                [this](Response response) { count_response(response); });
--- a/tests/support/simulated_call_chain.h
+++ b/tests/support/simulated_call_chain.h
@@ -26,10 +26,10 @@
   using FailureModel = std::function<std::optional<Outcome>(int tier, Seconds now, double draw)>;
 
   int tiers = 28;
-  int servers_per_tier = 3;   // a single replica sends to the first tier
-  Settings settings;          // of each replica, except its tier, its index and the number of replicas
-  double request_rate = 100;  // requests/s to the first tier
-  Seconds duration = 20;      // during which requests arrive
+  int servers_per_tier = 3;          // a single replica sends to the first tier
+  Settings settings;                 // of each replica, except its tier, its index and the number of replicas
+  double requests_per_second = 100;  // to the first tier
+  Seconds duration = 20;             // of the period in which requests arrive
   // Time that a server itself takes for a request, without the next tier: between 0.5 and 1.5 times the mean.
   Seconds mean_service_time = 0.001;
   int slots = 1000;                // requests that a server handles at the same time
@@ -100,7 +100,7 @@
   };
 
   void add_tier(int tier);
-  void send_first_request();
+  void send_request_to_first_tier();
   void count_response(Response response);
 
   // Draws a random service time. It varies because with equal response times the module's estimate of their
--- a/tests/support/simulated_fleet/client_traffic.cpp
+++ b/tests/support/simulated_fleet/client_traffic.cpp
@@ -1,3 +1,4 @@
+// The clients of a simulated fleet, whose requests arrive at random and which retry.
 #include "support/simulated_fleet/client_traffic.h"
 
 #include <algorithm>
@@ -31,7 +32,7 @@
   return scenario_.load * capacity_ * (in_burst ? scenario_.burst_factor : 1);
 }
 
-// A Poisson process at the highest rate, from which requests are dropped to get the current rate.
+// Draws arrivals from a Poisson process at the highest rate, and drops some of them to get the current rate.
 void ClientTraffic::schedule_next_arrival() {
   const double max_rate = scenario_.load * capacity_ * std::max(1.0, scenario_.burst_factor);
   queue_.schedule(queue_.now() + random_.exponential(1 / max_rate), [this, max_rate] {
--- a/tests/support/simulated_fleet/fleet_scenario.h
+++ b/tests/support/simulated_fleet/fleet_scenario.h
@@ -14,23 +14,23 @@
   kFailing,       // responds to every request with an error
   kUnresponsive,  // accepts requests but never responds, from shortly before FleetScenario::start_at on
   kSlow,          // takes FleetScenario::slowdown times as long
-  kPausing,       // pauses at the beginning of every few seconds
+  kPausing,       // pauses for a part of every few seconds
   kUnreachable    // accepts no connection
 };
 
 // How the set of replicas changes while Settings::replica_count stays the configured number.
 enum class ReplicaSetChange { kNone, kHalved, kDoubled, kReplaced };
 
-// Some of the servers start during the run, at `start_at`.
+// The servers, the load and the faults of one run. The starting servers start at `start_at`.
 struct FleetScenario {
   int replicas = 30;
   int servers = 14;
   int starting_servers = 1;
   int tier = 0;
-  double rate_per_weight = 20;  // requests/s that a server of weight 1 completes
+  double rate_per_weight = 20;  // capacity of a server of weight 1, in requests/s
 
   double load = 0.6;          // rate of arriving requests, as a fraction of the fleet's capacity
-  double burst_factor = 1;    // by which the load is multiplied during the burst
+  double burst_factor = 1;    // multiplies the load during the burst
   Seconds burst_delay = 0.5;  // from `start_at` to the beginning of the burst
   Seconds burst_duration = 6;
   double quota_fraction = 0.82;  // sum of all tenants' quotas, as a fraction of the fleet's capacity
--- a/tests/support/simulated_fleet/overload_window.cpp
+++ b/tests/support/simulated_fleet/overload_window.cpp
@@ -1,3 +1,4 @@
+// Measures how close the load of starting servers comes to the load at which they fail.
 #include "support/simulated_fleet/overload_window.h"
 
 #include <algorithm>
--- a/tests/support/simulated_fleet/simulated_fleet.cpp
+++ b/tests/support/simulated_fleet/simulated_fleet.cpp
@@ -1,3 +1,4 @@
+// Simulation of a fleet in virtual time.
 #include "support/simulated_fleet/simulated_fleet.h"
 
 #include <algorithm>
--- a/tests/support/simulated_fleet/simulated_fleet.h
+++ b/tests/support/simulated_fleet/simulated_fleet.h
@@ -54,7 +54,7 @@
     std::unique_ptr<Balancer> balancer;
     Settings settings;
     bool running = true;
-    std::vector<bool> notified;  // of the server's start, by server
+    std::vector<bool> notified;  // by server: whether the replica was notified of the server's start
     std::unordered_map<std::string, PendingRequest> requests;
   };
 
@@ -90,7 +90,7 @@
   std::vector<RequestClass> classes_;
   EventQueue queue_;
   SimulationRandom random_;
-  double capacity_ = 0;  // requests/s of all servers together
+  double capacity_ = 0;  // of all servers together, in requests/s
   // The first `starting_servers` start during the run. A deque, because scheduled events refer to its
   // elements.
   std::deque<SimulatedServer> servers_;
--- a/tests/support/simulated_fleet/simulated_server.cpp
+++ b/tests/support/simulated_fleet/simulated_server.cpp
@@ -1,3 +1,4 @@
+// A server of a simulated fleet.
 #include "support/simulated_fleet/simulated_server.h"
 
 #include <algorithm>
--- a/tests/support/simulated_fleet/simulated_server.h
+++ b/tests/support/simulated_fleet/simulated_server.h
@@ -43,8 +43,11 @@
 
   void set_fault(Fault fault) { fault_ = fault; }
   void receive(const FleetAttempt& attempt, bool sender_notified);
-  void stop() { running_ = false; }  // before the run
-  void crash();                      // open connections are reset
+  // Keeps a server down that starts during the run.
+  void stop() { running_ = false; }
+  // Resets the open connections and drops the waiting attempts.
+  void crash();
+  // Starts the server during the run.
   void start();
 
   bool running() const { return running_; }
@@ -54,7 +57,7 @@
   double capacity_fraction(Seconds time) const;
   // Empty if the server has not started during the run.
   std::optional<Seconds> started_at() const { return started_at_; }
-  // The arrivals since the server has started during the run.
+  // The arrivals since the server started during the run.
   const std::vector<SlowStartArrival>& arrivals() const { return arrivals_; }
 
  private:
--- a/tests/support/simulated_fleet/simulation_random.cpp
+++ b/tests/support/simulated_fleet/simulation_random.cpp
@@ -1,3 +1,4 @@
+// Reproducible random numbers for simulations.
 #include "support/simulated_fleet/simulation_random.h"
 
 #include <cmath>
--- a/tests/support/steady_load.cpp
+++ b/tests/support/steady_load.cpp
@@ -1,3 +1,4 @@
+// Load at a steady rate.
 #include "support/steady_load.h"
 
 namespace asterdrift::balancer {
