--- a/tests/node/race_conditions_test.cpp
+++ b/tests/node/race_conditions_test.cpp
@@ -102,7 +102,7 @@
 TEST(RaceConditions, RetryAfterDeduplicationWindowIsNotSent) {
   const SlowAcceptingServer slow_server;
   LongTimeoutFixture fixture;
-  fixture.config.dedup_window_s = 0.5;
+  fixture.config.dedup_window = 0.5;
   const std::string first_entry = fixture.server_entry(0);
   auto [client, server] = fixture.start_with_forwarded_request(request("mark"));
   const Stopwatch stopwatch;
@@ -112,7 +112,7 @@
   wait_until([&, &waiting_client = client] {
     return connection_attempt_to(slow_server.port()) || !waiting_client.is_idle();
   });
-  wait_until([&] { return stopwatch.seconds() > fixture.config.dedup_window_s; });
+  wait_until([&] { return stopwatch.seconds() > fixture.config.dedup_window; });
   slow_server.free_queue();
   EXPECT_TRUE(contains(client.read_message(), "HTTP/1.1 502 ")) << "the first attempt may have run";
   EXPECT_EQ(fixture.metric("upstream_requests"), 1);
--- a/tests/node/upstream_connection_test.cpp
+++ b/tests/node/upstream_connection_test.cpp
@@ -72,7 +72,7 @@
 
 TEST(UpstreamConnection, IdleConnectionIsClosedBeforeServerTimeout) {
   NodeFixture fixture;
-  fixture.config.idle_close_s = 4;
+  fixture.config.idle_timeout = 4;
   auto [client, server] = fixture.start_with_forwarded_request();
   server.send(ok_response());
   const Stopwatch stopwatch;
@@ -83,7 +83,7 @@
 TEST(UpstreamConnection, DrainMigratesRequestsThatWaitForConnection) {
   const SlowAcceptingServer unreachable_server;
   NodeFixture fixture;
-  fixture.config.connect_timeout_s = 10;
+  fixture.config.connect_timeout = 10;
   TestSocket client = fixture.start_with_waiting_request(unreachable_server);
   fixture.announce_changes(
       8, endpoint("s0", unreachable_server.port(), "leaving") + "," + fixture.server_entry(1));
--- a/tests/soak/soak_run.cpp
+++ b/tests/soak/soak_run.cpp
@@ -54,7 +54,7 @@
   config_.admin_address = NodeTestConfig::kAnyPort;
   config_.max_sockets = script_.max_sockets;
   config_.max_memory_mb = kMemoryMb;
-  config_.request_timeout_s = kMaxRequestTimeout;
+  config_.request_timeout = kMaxRequestTimeout;
   control_.port = port_.port();
 }
 
--- a/tests/support/child_process.cpp
+++ b/tests/support/child_process.cpp
@@ -1,4 +1,4 @@
-// Child processes of a test: functions and programs.
+// Child processes of a test, which run a function or a program.
 #include "support/child_process.h"
 
 #include <fcntl.h>
@@ -21,22 +21,24 @@
 namespace asterdrift::test_support {
 namespace {
 
-constexpr std::size_t kReadBuffer = 1024;  // bytes
+constexpr std::size_t kReadBufferBytes = 1024;
 constexpr mode_t kLogFileMode = 0600;
 
-// Forks; the child ends when this process does. Returns 0 in the child.
+// Forks a child that is killed when this process ends. Returns 0 in the child, and the child's id in this
+// process.
 pid_t fork_bound_to_parent() {
   const pid_t parent = getpid();
   const pid_t child = fork();
   if (child < 0) throw std::system_error(errno, std::generic_category(), "fork");
   if (child == 0) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
+    // The signal is not sent if the parent had ended before prctl().
     if (getppid() != parent) _exit(ChildProcess::kWorkEnded);
   }
   return child;
 }
 
-// Replaces the child by the program.
+// Replaces the calling process by the program.
 [[noreturn]] void execute(const Program& program) {
   if (program.descriptor_limit) {
     const rlimit limit{*program.descriptor_limit, *program.descriptor_limit};
@@ -56,7 +58,7 @@
   try {
     work();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "child process ends: %s\n", error.what());
+    std::fprintf(stderr, "the function of a child process threw an exception: %s\n", error.what());
   }
   _exit(kWorkEnded);
 }
@@ -134,7 +136,7 @@
 
 bool LoggedProgram::read_more() {
   if (!wait_readable(pipe_.read_end.get(), kWaitLimit)) return false;
-  std::array<char, kReadBuffer> bytes;
+  std::array<char, kReadBufferBytes> bytes;
   const ssize_t count = read(pipe_.read_end.get(), bytes.data(), bytes.size());
   if (count <= 0) return false;
   log_.append(bytes.data(), static_cast<std::size_t>(count));
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -1,5 +1,5 @@
-// Child processes of a test: functions and programs. Each ends with the object that started it, and with
-// the test's own process at the latest.
+// Child processes of a test, which run a function or a program. A child is killed by the destructor of the
+// object that started it, and at the latest when the test's process ends.
 #pragma once
 
 #include <sys/resource.h>
@@ -15,17 +15,17 @@
 
 namespace asterdrift::test_support {
 
-// Variables by name and value.
+// Names and values of environment variables.
 using Environment = std::vector<std::pair<std::string, std::string>>;
 
 // A program and how to start it.
 struct Program {
   std::string path;
   Environment environment;                 // in addition to the inherited variables
-  std::optional<rlim_t> descriptor_limit;  // of open files; unset: inherited
+  std::optional<rlim_t> descriptor_limit;  // largest number of open files; inherited if unset
 };
 
-// A child process. Killed by its destructor unless it has ended before.
+// A child process. The destructor kills the process unless wait_for_exit() has returned.
 class ChildProcess {
  public:
   // Runs `work` in the child, which exits with `kWorkEnded` when `work` returns or throws.
@@ -40,18 +40,19 @@
 
   pid_t pid() const { return pid_; }
   void signal(int signal_number) const;
-  // Suspends the process, and returns when it is suspended.
+  // Suspends the process, and returns when the process is suspended.
   void suspend() const;
   void resume() const;
-  // Waits for the end. Returns the exit code, or the negative number of the signal that ended it.
+  // Waits until the process has ended. Returns the exit code, or the negative number of the signal that ended
+  // the process.
   int wait_for_exit();
-  // The process's folder in /proc.
+  // The folder of the process in /proc.
   std::string proc_folder() const;
-  // The folder that lists its open files.
+  // The folder that lists the open files of the process.
   std::string descriptor_folder() const;
 
   static constexpr int kWorkEnded = 1;        // exit code of a child that runs a function
-  static constexpr int kNotExecutable = 127;  // exit code where the program can't be run
+  static constexpr int kNotExecutable = 127;  // exit code if the program cannot be run
 
  private:
   pid_t pid_ = -1;
@@ -64,9 +65,11 @@
 
   ChildProcess& process() { return child_; }
   const ChildProcess& process() const { return child_; }
-  // The log so far, read until `part` stands in it, the program ends, or the wait limit is over.
+  // Reads the log until it contains `part`, the program ends, or nothing is logged for kWaitLimit. Returns
+  // the log so far.
   const std::string& read_log_until(const std::string& part);
-  // Reads the log to its end, and waits for the end of the process.
+  // Reads the log to its end and waits until the process has ended. Returns the same as
+  // ChildProcess::wait_for_exit().
   int wait_for_exit();
 
  private:
--- a/tests/support/connection_table.cpp
+++ b/tests/support/connection_table.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr unsigned kSynSent = 2;  // the kernel's TCP_SYN_SENT
-constexpr int kColumns = 5;       // that are read from each row
+constexpr int kParsedColumns = 5;
 
 bool parse_row(const std::string& line, ConnectionRow& row) {
   return std::sscanf(line.c_str(), "%*s %*x:%x %*x:%x %x %x:%x", &row.local_port, &row.remote_port,  // NOLINT
-                     &row.state, &row.unsent_bytes, &row.unread_bytes) == kColumns;
+                     &row.state, &row.unsent_bytes, &row.unread_bytes) == kParsedColumns;
 }
 
 }  // namespace
--- a/tests/support/connection_table.h
+++ b/tests/support/connection_table.h
@@ -16,10 +16,10 @@
 
 std::vector<ConnectionRow> connection_table();
 
-// Whether a connection to this port is being opened.
+// Returns whether a connection to this port is being established: the SYN is sent but not answered.
 bool connection_attempt_to(int port);
 
-// Whether the other side has read everything that was sent from this port.
+// Returns whether the peers have read everything that was sent from this port.
 bool all_read_from(int port);
 
 }  // namespace asterdrift::test_support
--- a/tests/support/discovery_messages.cpp
+++ b/tests/support/discovery_messages.cpp
@@ -1,4 +1,4 @@
-// Text of discovery's messages: an endpoint's entry, and lists of entries.
+// Messages of the discovery service as JSON: endpoint entries, endpoint lists and events of a watch.
 #include "support/discovery_messages.h"
 
 namespace asterdrift::test_support {
--- a/tests/support/discovery_messages.h
+++ b/tests/support/discovery_messages.h
@@ -1,4 +1,4 @@
-// Text of discovery's messages: an endpoint's entry, and lists of entries.
+// Messages of the discovery service as JSON: endpoint entries, endpoint lists and events of a watch.
 #pragma once
 
 #include <cstdint>
@@ -6,27 +6,28 @@
 
 namespace asterdrift::test_support {
 
-// One endpoint on loopback, as discovery describes it.
+// An endpoint on the loopback address, as the discovery service describes it.
 struct EndpointEntry {
   std::string name;
   int port = 0;
   std::string health = "active";
-  int incarnation_ms = 0;  // start of the endpoint's process
+  int incarnation_ms = 0;  // time at which the endpoint's process started
   std::string zone = "a";
   std::string machine_class = "m";
   unsigned block = 0;
 };
 
-// The entry as JSON.
+// Returns the entry as JSON.
 std::string endpoint_json(const EndpointEntry& entry);
 
-// A complete endpoint list as JSON, without an end of line. `entries` are joined by commas.
+// Returns a complete endpoint list as JSON, without an end of line. `entries` holds endpoint entries,
+// separated by commas.
 std::string snapshot(std::uint64_t sequence, const std::string& entries);
 
-// A list of changed endpoints as JSON, without an end of line.
+// Returns a list of changed endpoints as JSON, without an end of line.
 std::string incremental_list(std::uint64_t sequence, const std::string& entries);
 
-// The same as an event of a watch: one line.
+// Return a complete list, or a list of changed endpoints, as an event of a watch: one line.
 std::string snapshot_event(std::uint64_t sequence, const std::string& entries);
 std::string incremental_event(std::uint64_t sequence, const std::string& entries);
 
--- a/tests/support/file_descriptor.cpp
+++ b/tests/support/file_descriptor.cpp
@@ -1,4 +1,4 @@
-// An owned file descriptor, and waiting until one is readable.
+// Owns file descriptors, and waits until a file descriptor is readable.
 #include "support/file_descriptor.h"
 
 #include <poll.h>
--- a/tests/support/file_descriptor.h
+++ b/tests/support/file_descriptor.h
@@ -1,11 +1,11 @@
-// An owned file descriptor, and waiting until one is readable.
+// Owns file descriptors, and waits until a file descriptor is readable.
 #pragma once
 
 #include <chrono>
 
 namespace asterdrift::test_support {
 
-// Owns a file descriptor and closes it at the end of its lifetime. -1: none.
+// Owns a file descriptor, which the destructor closes. The value is -1 if there is no descriptor.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -22,7 +22,8 @@
   int descriptor_ = -1;
 };
 
-// Whether the descriptor has data, a connection to accept, or its end to report, within `timeout`.
+// Waits until the descriptor has data, a connection to accept, or an end of the stream to report. Returns
+// false if that does not happen within `timeout`.
 bool wait_readable(int descriptor, std::chrono::milliseconds timeout);
 
 }  // namespace asterdrift::test_support
--- a/tests/support/fixed_address_fixture.h
+++ b/tests/support/fixed_address_fixture.h
@@ -8,7 +8,7 @@
 
 namespace asterdrift::node::testing {
 
-// A folder for temporary files, removed with this object.
+// A folder for temporary files. The destructor removes the folder with all files in it.
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -22,12 +22,12 @@
   std::string path_;
 };
 
-// Several processes of one node, at the same time or one after the other.
+// Starts several processes of one node, at the same time or one after the other.
 struct FixedAddressFixture : NodeFixture {
   FixedAddressFixture();
 
   Environment environment() const { return {{"TMPDIR", folder.path()}}; }
-  // Starts a further process; its watch is not accepted yet.
+  // Starts another process of the node. Does not accept the watch that the process opens.
   std::unique_ptr<NodeProcess> start_process() const;
   TestSocket connect_to_node() const { return TestSocket::connect_to(config.listen_port); }
   void set_admin_port(int port) { config.admin_address = "127.0.0.1:" + std::to_string(port); }
--- a/tests/support/http_messages.cpp
+++ b/tests/support/http_messages.cpp
@@ -1,4 +1,4 @@
-// Text of HTTP/1.1 messages.
+// Composes HTTP/1.1 messages, and finds the end of a message.
 #include "support/http_messages.h"
 
 #include <strings.h>
@@ -14,7 +14,7 @@
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr std::string_view kLengthField = "content-length:";
 
-// Content-Length of a message whose head ends at `head_end`; 0 without the field.
+// Returns the Content-Length of a message whose head ends at `head_end`, or 0 if the field is missing.
 std::size_t body_size(const std::string& bytes, std::size_t head_end) {
   std::size_t size = 0;
   std::size_t line = bytes.find(kLineEnd) + kLineEnd.size();
--- a/tests/support/long_timeout_fixture.cpp
+++ b/tests/support/long_timeout_fixture.cpp
@@ -1,4 +1,5 @@
-// Fixtures whose requests end by the events of a test alone, and ways for a peer to depart.
+// Fixtures with timeouts so long that only events of the test end a request, and the ways in which a peer
+// ends its connection.
 #include "support/long_timeout_fixture.h"
 
 #include <utility>
@@ -6,12 +7,12 @@
 namespace asterdrift::node::testing {
 
 LongTimeoutFixture::LongTimeoutFixture() {
-  config.connect_timeout_s = config.request_timeout_s = kNeverExpiresS;
+  config.connect_timeout = config.request_timeout = kLongTimeout;
   enable_admin_server();
 }
 
 KeepAliveFixture::KeepAliveFixture() {
-  config.idle_close_s = kNeverExpiresS;
+  config.idle_timeout = kLongTimeout;
   config.may_cancel = false;
 }
 
--- a/tests/support/loopback_socket.cpp
+++ b/tests/support/loopback_socket.cpp
@@ -17,9 +17,10 @@
 namespace asterdrift::test_support {
 namespace {
 
-constexpr std::chrono::milliseconds kSendPause{300};  // without progress: the other side takes no more
-constexpr std::size_t kReadBuffer = 65536;            // bytes
-constexpr std::size_t kMessageReadBuffer = 4096;      // bytes
+// If the other side accepts no data for this time, it is considered to accept no more.
+constexpr std::chrono::milliseconds kSendStallTimeout{300};
+constexpr std::size_t kReadBufferBytes = 65536;
+constexpr std::size_t kMessageReadBytes = 4096;
 
 std::string address_text(int port) { return "127.0.0.1:" + std::to_string(port); }
 
@@ -48,7 +49,7 @@
   }
 }
 
-int local_port_of(int descriptor) {
+int bound_port(int descriptor) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   if (getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
@@ -78,7 +79,7 @@
   return connection;
 }
 
-int TestSocket::local_port() const { return local_port_of(descriptor_.get()); }
+int TestSocket::local_port() const { return bound_port(descriptor_.get()); }
 
 void TestSocket::send(const std::string& text) const {
   ::send(descriptor_.get(), text.data(), text.size(), MSG_NOSIGNAL);
@@ -88,7 +89,7 @@
   std::size_t sent = 0;
   while (sent < text.size()) {
     pollfd request{descriptor_.get(), POLLOUT, 0};
-    if (poll(&request, 1, static_cast<int>(kSendPause.count())) <= 0) break;
+    if (poll(&request, 1, static_cast<int>(kSendStallTimeout.count())) <= 0) break;
     const ssize_t count =
         ::send(descriptor_.get(), text.data() + sent, text.size() - sent, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (count <= 0) break;
@@ -102,7 +103,7 @@
 void TestSocket::close() { descriptor_.close(); }
 
 void TestSocket::reset() {
-  const linger immediately{1, 0};
+  const linger immediately{1, 0};  // with a linger time of 0, close() sends RST
   setsockopt(descriptor_.get(), SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
   close();
 }
@@ -118,7 +119,7 @@
 }
 
 std::string TestSocket::read_bytes(std::size_t count) {
-  while (buffer_.size() < count && receive(kReadBuffer)) {
+  while (buffer_.size() < count && receive(kReadBufferBytes)) {
   }
   return take_buffered(count);
 }
@@ -135,13 +136,13 @@
 
 std::string TestSocket::read_message() {
   std::size_t size = complete_message_size(buffer_);
-  while (size == 0 && receive(kMessageReadBuffer)) size = complete_message_size(buffer_);
+  while (size == 0 && receive(kMessageReadBytes)) size = complete_message_size(buffer_);
   return take_buffered(size > 0 ? size : buffer_.size());
 }
 
 bool TestSocket::receive(std::size_t max_bytes) {
   if (!wait_readable(descriptor_.get(), kWaitLimit)) return false;
-  std::array<char, kReadBuffer> bytes;
+  std::array<char, kReadBufferBytes> bytes;
   const ssize_t count = recv(descriptor_.get(), bytes.data(), max_bytes, 0);
   if (count <= 0) return false;
   buffer_.append(bytes.data(), static_cast<std::size_t>(count));
@@ -157,7 +158,7 @@
 ListeningSocket::ListeningSocket(int backlog) : descriptor_(new_tcp_socket()) {
   enable_option(descriptor_.get(), SO_REUSEPORT);
   bind_to(descriptor_.get(), 0);
-  port_ = local_port_of(descriptor_.get());
+  port_ = bound_port(descriptor_.get());
   if (listen(descriptor_.get(), backlog) != 0) throw_system_error("listen on", port_);
 }
 
@@ -196,7 +197,7 @@
   enable_option(descriptor_.get(), SO_REUSEADDR);
   enable_option(descriptor_.get(), SO_REUSEPORT);
   bind_to(descriptor_.get(), 0);
-  port_ = local_port_of(descriptor_.get());
+  port_ = bound_port(descriptor_.get());
 }
 
 }  // namespace asterdrift::test_support
--- a/tests/support/loopback_socket.h
+++ b/tests/support/loopback_socket.h
@@ -11,41 +11,45 @@
 
 namespace asterdrift::test_support {
 
-// One end of a connection. Reads wait for `kWaitLimit` at most and then return what has come.
+// One end of a TCP connection. A read waits at most kWaitLimit for each next part of the data, and then
+// returns the data that has arrived.
 class TestSocket {
  public:
   TestSocket() = default;
   explicit TestSocket(FileDescriptor descriptor);
 
-  // Connects to a port. Throws std::system_error with the address.
+  // Connects to a port. Throws std::system_error, whose text has the address, if the connection fails.
   static TestSocket connect_to(int port);
 
   int local_port() const;
   bool is_open() const { return descriptor_.is_open(); }
-  // Gives up the descriptor. Nothing may have been read before.
+  // Gives up ownership of the descriptor. Must not be called after a read, because buffered data would be
+  // lost.
   FileDescriptor release() { return std::move(descriptor_); }
 
-  // Sends all of `text`; waits while the other side takes nothing. Ignores a broken connection.
+  // Sends `text`, and waits while the other side accepts no data. Ignores a broken connection.
   void send(const std::string& text) const;
-  // Sends what the other side takes before it pauses for long. Returns the number of bytes.
+  // Sends `text` until the other side accepts no more data. Returns the number of bytes sent.
   std::size_t send_available(const std::string& text) const;
-  // Ends the sending direction alone.
+  // Closes only the sending direction.
   void shutdown_send() const;
-  // Closes in order (FIN).
+  // Closes the connection with FIN.
   void close();
-  // Closes with a reset (RST).
+  // Closes the connection with RST.
   void reset();
 
-  // Whether nothing has come that is still unread, neither bytes nor the end of the connection.
+  // Returns whether no unread data is there, and neither data nor the end of the connection arrives within
+  // `wait`.
   bool is_idle(std::chrono::milliseconds wait = std::chrono::milliseconds{0}) const;
-  // Waits for the other side's end of the connection. False where further bytes come first.
+  // Waits until the other side closes or resets the connection. Returns false if data arrives first, or if
+  // nothing arrives within kWaitLimit.
   bool closed_by_peer();
 
-  // So many bytes; fewer where the connection ends first.
+  // Reads `count` bytes, or fewer if the connection ends first.
   std::string read_bytes(std::size_t count);
-  // All up to and including `mark`; less where the connection ends first.
+  // Reads up to and including `mark`, or less if the connection ends first.
   std::string read_until(const std::string& mark);
-  // One message with a body of Content-Length; less where the connection ends first.
+  // Reads a message with a body of Content-Length bytes, or less if the connection ends first.
   std::string read_message();
 
  private:
@@ -59,22 +63,23 @@
 // Listens on a port that the system has chosen.
 class ListeningSocket {
  public:
-  static constexpr int kDefaultBacklog = 64;  // connections
+  static constexpr int kDefaultBacklog = 64;  // connections that can wait to be accepted
 
   explicit ListeningSocket(int backlog = kDefaultBacklog);
 
   int port() const { return port_; }
-  // Frees the port.
+  // Stops listening and frees the port.
   void close() { descriptor_.close(); }
-  // Refuses connections from now on, but keeps the port: another test's process must not get it.
+  // Refuses connections from now on, but keeps the port, because another test's process must not get the
+  // port.
   void stop_listening();
-  // Listens again after stop_listening.
+  // Listens again after stop_listening().
   void resume_listening() const;
-  // Whether no connection waits to be accepted.
+  // Returns whether no connection is there to be accepted, and none arrives within `wait`.
   bool is_idle(std::chrono::milliseconds wait = std::chrono::milliseconds{0}) const;
-  // Throws TimeoutError where no connection comes.
+  // Accepts a connection. Throws TimeoutError if no connection arrives within kWaitLimit.
   TestSocket accept() const;
-  // Accepts from whichever of the two gets a connection.
+  // Accepts a connection from the first of the two sockets that gets one.
   static TestSocket accept_from_either(const ListeningSocket& first, const ListeningSocket& second);
 
  private:
@@ -82,7 +87,8 @@
   int port_ = 0;
 };
 
-// Keeps a port from all processes but those that share it (SO_REUSEPORT): bound and never listening.
+// Reserves a port for processes that share the port (SO_REUSEPORT). The socket is bound but never listens, so
+// that it gets no connections.
 class ReservedPort {
  public:
   ReservedPort();
--- a/tests/support/node_fixture.cpp
+++ b/tests/support/node_fixture.cpp
@@ -1,4 +1,4 @@
-// A node among scripted peers.
+// Runs a node among scripted peers: clients, two servers and the discovery service.
 #include "support/node_fixture.h"
 
 namespace asterdrift::node::testing {
@@ -89,7 +89,7 @@
     wait_until([&] { return !client.is_idle() || !servers_are_idle(); });
     if (!client.is_idle()) return client.read_message().empty();  // rejected: no server is available
     TestSocket connection = accept_at_either_server();
-    // A connection without a request belongs to an attempt that a list change has cancelled.
+    // A connection without a request belongs to an attempt that a change of the endpoint list has cancelled.
     while (connection.read_message().empty()) connection = accept_at_either_server();
     connection.send(ok_response_with_close());
     client.read_message();
--- a/tests/support/node_fixture.h
+++ b/tests/support/node_fixture.h
@@ -1,4 +1,4 @@
-// A node among scripted peers: its clients, two servers and discovery.
+// Runs a node among scripted peers: clients, two servers and the discovery service.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -38,14 +38,14 @@
 using test_support::wait_until;
 using test_support::with_content_length;
 
-// Both ends of a request that the node has forwarded and its server has read.
+// The connections of a request that the node has forwarded and a server has read.
 struct ForwardedRequest {
   TestSocket client;
   TestSocket server;
 };
 
-// A node past tier 0, so that it forwards each request, and its scripted surroundings. `config` is read
-// when the node starts.
+// A node and its scripted peers. The node is beyond tier 0, so that it forwards every request. `config` is
+// read when the node starts.
 struct NodeFixture {
   NodeFixture() { config.discovery_port = discovery.port(); }
 
@@ -57,11 +57,11 @@
 
   // Configuration.
   void enable_admin_server() { config.admin_address = NodeTestConfig::kAnyPort; }
-  // The configuration with discovery at another address.
+  // Returns `config` with the address of another discovery service.
   std::string config_with_discovery(const ListeningSocket& other_discovery) const;
 
   // Discovery.
-  // The entry of a server of this fixture: "s0" or "s1".
+  // Returns the endpoint entry of servers[index], whose name is "s0" or "s1".
   std::string server_entry(std::size_t index, const std::string& health = "active") const;
   std::string both_server_entries() const;
   // Accepts the node's watch and sends the head of its response. Returns the node's request.
@@ -73,7 +73,7 @@
 
   // Start.
   void start() { node = std::make_unique<NodeProcess>(config.to_json()); }
-  // Starts with a snapshot, sequence number 7, and waits until the node is ready.
+  // Starts the node, announces a snapshot with sequence number 7, and waits until the node is ready.
   void start_with(const std::string& entries);
   void start_with_one_server() { start_with(server_entry(0)); }
   void start_with_both_servers() { start_with(both_server_entries()); }
@@ -81,28 +81,28 @@
 
   // Requests.
   TestSocket connect_client() const { return TestSocket::connect_to(node->port()); }
-  // Sends a request which the first server accepts and reads. Returns the server's connection.
+  // Sends a request, which the first server accepts and reads. Returns the server's end of the connection.
   TestSocket forward(const TestSocket& client, const std::string& text = request("close")) const;
-  // Starts with one server, and forwards a request to it.
+  // Starts with one server, which accepts and reads a request.
   ForwardedRequest start_with_forwarded_request(const std::string& text = request("close"));
-  // Starts with both servers, and forwards a request to either.
+  // Starts with both servers, of which one accepts and reads a request.
   ForwardedRequest start_with_request_to_either(const std::string& text = request("close"));
-  // Starts with one slow-accepting server, sends a request, and returns its client when the node waits for
-  // the connection to the server.
+  // Starts with one slow-accepting server and sends a request. Returns the client's connection as soon as the
+  // node waits for its connection to the server.
   TestSocket start_with_waiting_request(const SlowAcceptingServer& server,
                                         const std::string& text = request("close"));
-  // A connection of the node to either server.
+  // Accepts the node's connection to one of the servers.
   TestSocket accept_at_either_server() const;
   bool servers_are_idle() const { return servers[0].is_idle() && servers[1].is_idle(); }
-  // Forwards a request of this client to the first server and expects its response.
+  // Sends a request of `client`, lets the first server respond, and expects that `client` gets the response.
   void expect_served(TestSocket& client) const;
-  // Repeats a request of this client until the response comes from `server`.
+  // Repeats a request of `client` until the response comes from `server`.
   void request_until_served_by(TestSocket& client, const ListeningSocket& server) const;
 
   // Health and metrics.
   std::string health_response() const;
   std::string admin_get(const std::string& path) const;
-  // Value of a metric; -1 where there is none of this name.
+  // Returns the value of a metric, or -1 if there is no metric of this name.
   long metric(const std::string& name) const;
 };
 
--- a/tests/support/node_messages.cpp
+++ b/tests/support/node_messages.cpp
@@ -1,4 +1,4 @@
-// Messages that tests exchange with the node.
+// Messages that tests exchange with the node: clients' requests, servers' responses, endpoint entries.
 #include "support/node_messages.h"
 
 #include "support/discovery_messages.h"
--- a/tests/support/node_messages.h
+++ b/tests/support/node_messages.h
@@ -5,26 +5,28 @@
 
 namespace asterdrift::node::testing {
 
-// Request line and fields of a request, without its length and end. Class "mark" is idempotent with a key.
+// Returns the request line and header fields of a request, without Content-Length and the end of the header
+// section. A request of the class "mark" has an idempotency key.
 std::string request_head(const std::string& request_class, const std::string& id = "r1");
 
-// A complete request; `fields` are further lines of its head.
+// Returns a complete request. `fields` holds additional lines of the header section.
 std::string request(const std::string& request_class, const std::string& fields = "",
                     const std::string& body = "question", const std::string& id = "r1");
 
-// A complete request with an id of its own.
+// Returns a complete request with the given id.
 std::string request_with_id(const std::string& request_class, const std::string& id);
 
-// A complete response with status 200.
+// Returns a complete response with status 200.
 std::string ok_response(const std::string& body = "answer");
 
-// The same, after which the server closes the connection.
+// Returns a complete response with status 200, which announces that the server closes the connection.
 std::string ok_response_with_close();
 
-// A server's 503 which says that it has not begun the request, after which it closes the connection.
+// Returns a response with status 503, which says that the server has not begun the request and closes the
+// connection.
 std::string not_started_response_with_close();
 
-// An endpoint's entry of a list.
+// Returns an endpoint's entry in an endpoint list.
 std::string endpoint(const std::string& name, int port, const std::string& health = "active",
                      int incarnation_ms = 0);
 
--- a/tests/support/node_process.cpp
+++ b/tests/support/node_process.cpp
@@ -1,4 +1,4 @@
-// The node as a program under test.
+// Runs the node as a program.
 #include "support/node_process.h"
 
 #include <gtest/gtest.h>
@@ -76,8 +76,9 @@
 int NodeProcess::port_in_log_after(const std::string& text) {
   const std::size_t position = read_log_until(text).find(text);
   if (position == std::string::npos) {
-    throw test_support::TimeoutError("\"" + text + "\" in the node's log: " + read_log_until(""),
-                                     test_support::kWaitLimit);
+    throw test_support::TimeoutError(
+        "\"" + text + "\" in the node's log, which contains: " + read_log_until(""),
+        test_support::kWaitLimit);
   }
   return std::stoi(read_log_until("\n").substr(position + text.size()));
 }
--- a/tests/support/node_process.h
+++ b/tests/support/node_process.h
@@ -1,4 +1,4 @@
-// The node as a program under test.
+// Runs the node as a program.
 #pragma once
 
 #include <string>
@@ -7,13 +7,13 @@
 
 namespace asterdrift::node::testing {
 
-// What a node process gets from its surroundings.
+// Resource limit and environment of a node process.
 struct NodeProcessOptions {
-  rlim_t descriptor_limit = 1024;  // of open files
+  rlim_t descriptor_limit = 1024;  // largest number of open files
   test_support::Environment environment = {};
 };
 
-// The configuration file of a process, removed with this object.
+// The configuration file of a process. The destructor removes the file.
 class ConfigFile {
  public:
   explicit ConfigFile(const std::string& text);
@@ -29,35 +29,38 @@
   std::string path_;
 };
 
-// A running node. Killed by its destructor unless it has ended before.
+// A node process. The destructor kills the process unless wait_for_exit() has returned.
 class NodeProcess {
  public:
   explicit NodeProcess(const std::string& config, const NodeProcessOptions& options = {});
 
-  // The log so far, read until `part` stands in it or the program ends.
+  // Reads the log until it contains `part`, the program ends, or nothing is logged for kWaitLimit. Returns
+  // the log so far.
   const std::string& read_log_until(const std::string& part) { return program_.read_log_until(part); }
-  // The port for clients, once the node listens.
+  // Waits until the node listens for clients, and returns the port.
   int port() { return port_in_log_after("listening on 127.0.0.1:"); }
+  // Waits until the admin server listens, and returns the port.
   int admin_port() { return port_in_log_after("admin server on 127.0.0.1:"); }
-  // Whether GET /ready on the admin server succeeds.
+  // Returns whether GET /ready on the admin server succeeds.
   bool is_ready();
-  // The admin server's response to GET /metrics.
+  // Returns the admin server's response to GET /metrics.
   std::string metrics();
 
   void signal(int signal_number) const { program_.process().signal(signal_number); }
-  // Suspends the process, so that whatever arrives meanwhile is there all at once when it resumes.
+  // Suspends the process. Everything that arrives meanwhile is there at once when the process resumes.
   void suspend() const { program_.process().suspend(); }
   void resume() const { program_.process().resume(); }
-  // Replaces the configuration and sends SIGHUP.
+  // Replaces the configuration file and sends SIGHUP.
   void reload(const std::string& config) const;
   // Removes the configuration file and sends SIGHUP.
   void reload_without_file() const;
-  // Waits for the end. Returns the exit code, or the negative number of the signal that ended it.
+  // Waits until the process has ended. Returns the exit code, or the negative number of the signal that ended
+  // the process.
   int wait_for_exit() { return program_.wait_for_exit(); }
 
   std::string proc_folder() const { return program_.process().proc_folder(); }
   std::string descriptor_folder() const { return program_.process().descriptor_folder(); }
-  // The most memory that the process has had resident (VmHWM).
+  // Returns the peak resident memory of the process (VmHWM).
   long peak_memory_kb() const;
 
  private:
--- a/tests/support/node_test_config.cpp
+++ b/tests/support/node_test_config.cpp
@@ -1,4 +1,4 @@
-// The configuration of a node under test: the operators' field names.
+// The configuration of a node under test, as JSON with the field names that operators use.
 #include "support/node_test_config.h"
 
 #include <sstream>
@@ -20,12 +20,12 @@
   out << R"("settings":{"position":0,"peersTotal":1,"stage":1,"registryMode":")"
       << (awaits_watch ? "subscribe" : "automatic") << R"(","azs":["a"],"bounds":{"cancel":)"
       << json_bool(may_cancel) << R"(,"maxAttempts":4,"retryAfter":)" << json_bool(may_send_retry_after)
-      << R"(,"maxRetryAfter":2.0,"dialTimeout":)" << connect_timeout_s << R"(,"idleClose":)" << idle_close_s
+      << R"(,"maxRetryAfter":2.0,"dialTimeout":)" << connect_timeout << R"(,"idleClose":)" << idle_timeout
       << "},"
       << R"("realms":[{"name":"acme","allowancePerS":1000}],"rules":{"askWithin":0.4},"categories":[)"
-      << R"({"name":"mark","aim":2,"giveUp":)" << request_timeout_s
-      << R"(,"lateWorth":0.5,"effect":"keyed","group":"cell","dedupWindow":)" << dedup_window_s << R"(},)"
-      << R"({"name":"close","aim":2,"giveUp":)" << request_timeout_s
+      << R"({"name":"mark","aim":2,"giveUp":)" << request_timeout
+      << R"(,"lateWorth":0.5,"effect":"keyed","group":"cell","dedupWindow":)" << dedup_window << R"(},)"
+      << R"({"name":"close","aim":2,"giveUp":)" << request_timeout
       << R"(,"lateWorth":0.5,"effect":"unsafe"}]}})";
   return out.str();
 }
--- a/tests/support/slow_accepting_server.cpp
+++ b/tests/support/slow_accepting_server.cpp
@@ -1,4 +1,4 @@
-// A server whose connections are established only when a test says so.
+// A server to which connections are established only when the test allows it.
 #include "support/slow_accepting_server.h"
 
 namespace asterdrift::node::testing {
--- a/tests/support/text.h
+++ b/tests/support/text.h
@@ -1,4 +1,4 @@
-// Small helpers on text.
+// Functions on strings.
 #pragma once
 
 #include <string>
--- a/tests/support/text_file.cpp
+++ b/tests/support/text_file.cpp
@@ -1,4 +1,4 @@
-// Text files that other processes write.
+// Reads text files that other processes write.
 #include "support/text_file.h"
 
 #include <fstream>
--- a/tests/support/text_file.h
+++ b/tests/support/text_file.h
@@ -1,11 +1,11 @@
-// Text files that other processes write.
+// Reads text files that other processes write.
 #pragma once
 
 #include <string>
 
 namespace asterdrift::test_support {
 
-// The text of a file as it is now; empty where the file cannot be read.
+// Returns the current text of a file, or an empty text if the file cannot be read.
 std::string read_text_file(const std::string& path);
 
 }  // namespace asterdrift::test_support
--- a/tests/support/wait_until.cpp
+++ b/tests/support/wait_until.cpp
@@ -1,9 +1,9 @@
-// Waiting for conditions and measuring elapsed time.
+// Waits for conditions and measures elapsed time.
 #include "support/wait_until.h"
 
 namespace asterdrift::test_support {
 
-double steady_seconds() {
+Seconds steady_seconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
--- a/tests/support/wait_until.h
+++ b/tests/support/wait_until.h
@@ -1,35 +1,37 @@
-// Waiting for conditions and measuring elapsed time. All limits only end a test that would hang.
+// Waits for conditions and measures elapsed time. The time limits only end tests that would hang.
 #pragma once
 
 #include <chrono>
 #include <stdexcept>
 #include <string>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::test_support {
 
-// How long any wait of a test may take.
+// The longest time that a single wait of a test may take.
 constexpr std::chrono::milliseconds kWaitLimit{15000};
 
-// Seconds on the steady clock, which is the same in all processes.
-double steady_seconds();
+// Returns the time of the steady clock, which is the same in all processes.
+Seconds steady_seconds();
 
-// Measures from its construction.
+// Measures the time since its construction.
 class Stopwatch {
  public:
   Stopwatch() : started_at_(steady_seconds()) {}
-  double seconds() const { return steady_seconds() - started_at_; }
+  Seconds seconds() const { return steady_seconds() - started_at_; }
 
  private:
-  double started_at_;
+  Seconds started_at_;
 };
 
-// Something did not happen within its limit. Names what was awaited.
+// Thrown if an event does not happen within its time limit. The text names the event.
 class TimeoutError : public std::runtime_error {
  public:
   TimeoutError(const std::string& awaited, std::chrono::milliseconds limit);
 };
 
-// A line of a source file: where the caller of a function with this default argument stands.
+// A line of a source file. Used as a default argument, current() gives the line of the function's caller.
 struct SourceLine {
   const char* file = "";
   int line = 0;
@@ -39,10 +41,10 @@
   }
 };
 
-// The TimeoutError of a condition that was awaited at `place`.
+// Returns the TimeoutError of a condition that was awaited at `place`.
 TimeoutError condition_timeout(const SourceLine& place, std::chrono::milliseconds limit);
 
-// Evaluates `condition` again and again until it holds. Throws TimeoutError past `kWaitLimit`.
+// Evaluates `condition` repeatedly until it is true. Throws TimeoutError after kWaitLimit.
 template <class Condition>
 void wait_until(Condition condition, const SourceLine& place = SourceLine::current()) {
   const Stopwatch stopwatch;
