--- a/tests/support/simulated_fleet/fleet_scenario.h
+++ b/tests/support/simulated_fleet/fleet_scenario.h
@@ -14,7 +14,7 @@
   kFailing,       // responds to every request with an error
   kUnresponsive,  // accepts requests but never responds, from shortly before FleetScenario::start_at on
   kSlow,          // takes FleetScenario::slowdown times as long
-  kPausing,       // pauses for a part of every few seconds
+  kPausing,       // pauses for a short time every few seconds
   kUnreachable    // accepts no connection
 };
 
