--- a/tests/support/text_file.cpp
+++ b/tests/support/text_file.cpp
@@ -1,3 +1,4 @@
+// Reads text files that other processes write.
 #include "support/text_file.h"
 
 #include <fstream>
