--- a/tests/balancer/endpoint_selection_test.cpp
+++ b/tests/balancer/endpoint_selection_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint selection: the less busy of two random candidates.
+// Endpoint selection: the less busy one of two random candidates.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -21,7 +21,8 @@
   EXPECT_EQ(in_flight["s1"], 5);
 }
 
-// Also for a replica with nothing in flight, to which all endpoints look equally busy.
+// Selection must follow the weights even when a replica has no requests in flight and all endpoints look
+// equally busy to it.
 TEST(EndpointSelection, SelectionIsProportionalToWeight) {
   TestReplica replica(basic_settings());
   EndpointUpdate snapshot = make_snapshot(2);
