--- a/scale/guards/allocation_guard_test.cpp
+++ b/scale/guards/allocation_guard_test.cpp
@@ -1,4 +1,5 @@
-// Limits on what the balancer allocates: counts that no clock and no busy machine can change.
+// Guards that limit the balancer's allocations. The counts are deterministic: neither the clock nor other
+// load on the machine changes them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -32,18 +33,19 @@
   return {std::max(first.count, second.count), std::max(first.bytes, second.bytes), 0, 0};
 }
 
-// A balancer with a list, whose attempts succeed; those to its subset fail once `is_subset_unreachable`.
-class BalancerWithList {
+// A balancer that has an endpoint list. Its attempts succeed until make_subset_unreachable() is called; from
+// then on, attempts to the endpoints of the subset fail to connect.
+class BalancerWithEndpointList {
  public:
-  explicit BalancerWithList(std::size_t servers)
+  explicit BalancerWithEndpointList(std::size_t servers)
       : list_(snapshot_update(servers)), balancer_(settings_with_replicas(servers), 1) {
     actions_.reserve(64);
     balancer_.handle(now_, list_, actions_);
   }
 
-  // Handles one request with its attempts. Returns what that has allocated.
+  // Handles one request and the results of its attempts. Returns the allocations of the balancer's calls.
   Allocations handle_request() {
-    now_ += 0.003;
+    now_ += kRequestPeriod;
     balancer::Request request;
     request.id = std::to_string(++last_request_);
     request.time_left = 5;
@@ -60,14 +62,16 @@
     return total;
   }
 
-  // The maximum over so many requests.
+  // Handles `requests` requests. Returns the maximum number and the maximum bytes of the allocations for one
+  // request.
   Allocations handle_requests(int requests) {
     Allocations maximum;
     for (int i = 0; i < requests; ++i) maximum = max(maximum, handle_request());
     return maximum;
   }
 
-  Allocations change(std::size_t index, balancer::EndpointState state) {
+  // Applies an incremental list that sets the state of one endpoint. Returns the allocations of that.
+  Allocations change_endpoint_state(std::size_t index, balancer::EndpointState state) {
     balancer::EndpointUpdate update;
     update.form = balancer::EndpointUpdate::Form::kIncremental;
     update.endpoints = {list_.endpoints[index]};
@@ -80,6 +84,8 @@
   const std::vector<balancer::Action>& actions() const { return actions_; }
 
  private:
+  static constexpr Seconds kRequestPeriod = 0.003;
+
   Allocations handle(const balancer::Event& event) {
     actions_.clear();
     const Allocations before = allocations();
@@ -88,20 +94,21 @@
     return {after.count - before.count, after.bytes - before.bytes, 0, 0};
   }
 
-  double now_ = 100;  // s
+  Seconds now_ = 100;
   balancer::EndpointUpdate list_;
   balancer::Balancer balancer_;
-  std::vector<balancer::Action> actions_;  // of the last event
-  std::set<std::string> subset_;           // endpoints used while all were healthy
+  std::vector<balancer::Action> actions_;  // caused by the last event
+  std::set<std::string> subset_;           // endpoints that got attempts while all endpoints were healthy
   bool is_subset_unreachable_ = false;
   std::uint64_t last_request_ = 0;
   std::uint64_t attempts_ = 0;
 };
 
-// What a request allocates does not depend on the number of servers, with the subset healthy or unreachable.
+// The allocations for a request have the same limits at every number of servers, both when the subset is
+// healthy and when it is unreachable.
 TEST(ScaleGuard, RequestAllocatesTheSameAtEveryListSize) {
   for (const std::size_t servers : kListSizes) {
-    BalancerWithList balancer(servers);
+    BalancerWithEndpointList balancer(servers);
     balancer.handle_requests(300);
     const std::uint64_t attempts_before = balancer.attempts();
     const Allocations healthy = balancer.handle_requests(300);
@@ -109,22 +116,23 @@
     EXPECT_LE(healthy.bytes, 1500U) << servers;
     EXPECT_EQ(balancer.attempts() - attempts_before, 300U) << servers;
     balancer.make_subset_unreachable();
-    balancer.handle_requests(300);  // its buffer of candidates grows once
+    balancer.handle_requests(300);  // lets the buffer of candidates grow to its final size
     const Allocations unreachable = balancer.handle_requests(300);
     EXPECT_LE(unreachable.count, 16U) << servers;
     EXPECT_LE(unreachable.bytes, 3000U) << servers;
   }
 }
 
-// A change causes no action, and costs the same whatever the number of servers.
+// A change of one endpoint's state causes no action, and its allocations have the same limits at every number
+// of servers.
 TEST(ScaleGuard, ChangeAllocatesLittleAndCausesNoAction) {
   for (const std::size_t servers : kListSizes) {
-    BalancerWithList balancer(servers);
+    BalancerWithEndpointList balancer(servers);
     Allocations maximum;
     for (std::size_t i = 0; i < 40; ++i) {
       const std::size_t index = i / 2 * 7919 % servers;
       const auto state = i % 2 == 0 ? balancer::EndpointState::kDraining : balancer::EndpointState::kReady;
-      maximum = max(maximum, balancer.change(index, state));
+      maximum = max(maximum, balancer.change_endpoint_state(index, state));
       EXPECT_TRUE(balancer.actions().empty()) << servers;
     }
     EXPECT_LE(maximum.count, 40U) << servers;
--- a/scale/guards/polling_fleet.cpp
+++ b/scale/guards/polling_fleet.cpp
@@ -1,4 +1,4 @@
-// One stand-in discovery and simulated nodes in front of it, all on one thread.
+// A stand-in discovery and the simulated nodes that poll it, all on one thread.
 #include "scale/guards/polling_fleet.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr std::chrono::seconds kLimit{60};
+constexpr std::chrono::seconds kWaitLimit{60};
 
 }  // namespace
 
@@ -22,15 +22,15 @@
     nodes_.push_back(std::make_unique<SimulatedNode>(io_, config_text(setup)));
   }
   for (const auto& node : nodes_) node->start();
-  wait_until_current();
+  wait_until_all_have_latest_list();
 }
 
 void PollingFleet::wait_until(const std::function<bool()>& condition) {
-  const bool holds = run_until(io_, static_cast<double>(kLimit.count()), condition);
-  if (!holds) throw test_support::TimeoutError("a condition of the polling fleet", kLimit);
+  const bool holds = run_until(io_, static_cast<Seconds>(kWaitLimit.count()), condition);
+  if (!holds) throw test_support::TimeoutError("a condition of the polling fleet", kWaitLimit);
 }
 
-void PollingFleet::wait_until_current() {
+void PollingFleet::wait_until_all_have_latest_list() {
   wait_until([&] {
     return std::all_of(nodes_.begin(), nodes_.end(),
                        [&](const auto& node) { return node->list_version() == discovery_.version(); });
--- a/scale/guards/polling_fleet.h
+++ b/scale/guards/polling_fleet.h
@@ -1,4 +1,4 @@
-// One stand-in discovery and simulated nodes in front of it, all on one thread.
+// A stand-in discovery and the simulated nodes that poll it, all on one thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,16 +16,16 @@
 
 class PollingFleet {
  public:
-  // Starts all nodes, and returns when each has the list.
+  // Starts all nodes, and returns when each of them has applied the endpoint list.
   PollingFleet(std::size_t servers, std::size_t nodes, ListDelivery list_delivery);
 
-  // Handles events until the condition holds. The limit only ends a test that would hang: throws
-  // test_support::TimeoutError.
+  // Handles events until the condition holds. Throws test_support::TimeoutError after 60 s: that limit only
+  // ends a test that would otherwise hang.
   void wait_until(const std::function<bool()>& condition);
-  // The same until all nodes have discovery's latest list.
-  void wait_until_current();
+  // Handles events until all nodes have applied discovery's latest list. Throws like wait_until().
+  void wait_until_all_have_latest_list();
 
-  // Watches that have failed, of all nodes.
+  // The number of failed watches of all nodes so far.
   std::uint64_t failed_watches() const;
   StandInDiscovery& discovery() { return discovery_; }
   const std::vector<std::unique_ptr<SimulatedNode>>& nodes() const { return nodes_; }
--- a/scale/guards/retry_guard_test.cpp
+++ b/scale/guards/retry_guard_test.cpp
@@ -1,4 +1,5 @@
-// A limit on retries across tiers: a count that no clock and no busy machine can change.
+// A guard that limits retries across tiers. The count of attempts is deterministic: neither the clock nor
+// other load on the machine changes it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,20 +17,21 @@
 namespace asterdrift::scale {
 namespace {
 
-// More attempts at the last tier than any bounded number of retries causes.
+// Thrown when there are more attempts at the last tier than any bounded number of retries causes.
 class UnboundedRetriesError : public std::runtime_error {
  public:
   explicit UnboundedRetriesError(std::uint64_t attempts)
       : std::runtime_error(std::to_string(attempts) + " attempts at the last tier") {}
 };
 
-// Services that call services, each with its balancer; servers behind the last one fail at random.
+// A chain of services: the service of each tier has a balancer and calls the service of the next tier. The
+// servers behind the last tier's balancer fail at random.
 class TierChain {
  public:
   struct Setup {
     std::size_t tiers = 0;
     double failure_probability = 0;
-    std::optional<double> tenant_quota;  // requests per second
+    std::optional<double> quota_requests_per_second;  // of the tenant; none if empty
     std::uint64_t seed = 1;
   };
 
@@ -38,14 +40,14 @@
       NodeSetup node;
       node.tier = static_cast<int>(tier);
       balancer::Settings settings = balancer_settings(node);
-      settings.tenants = {balancer::Tenant{setup.tenant_quota}};
+      settings.tenants = {balancer::Tenant{setup.quota_requests_per_second}};
       balancers_.emplace_back(settings, setup.seed + tier);
       std::vector<balancer::Action> actions;
       balancers_.back().handle(0, snapshot_update(kServersPerTier), actions);
     }
   }
 
-  // Sends one request to the first tier. Returns whether it succeeds.
+  // Sends one request to the first tier. Returns whether the request succeeds.
   bool send_request() {
     now_ += kRequestPeriod;
     return handle_request(0);
@@ -54,10 +56,10 @@
   std::uint64_t last_tier_attempts() const { return last_tier_attempts_; }
 
  private:
-  static constexpr std::uint64_t kMaxAttempts = 100000;
+  static constexpr std::uint64_t kMaxLastTierAttempts = 100000;
   static constexpr std::size_t kServersPerTier = 8;
-  static constexpr double kRequestPeriod = 0.01;   // s
-  static constexpr double kServerLatency = 0.001;  // s
+  static constexpr Seconds kRequestPeriod = 0.01;
+  static constexpr Seconds kServerLatency = 0.001;
 
   bool handle_request(std::size_t tier) {
     if (tier == balancers_.size()) return handle_at_server();
@@ -65,26 +67,26 @@
     request.id = std::to_string(++last_request_);
     request.time_left = 5;
     balancer::Event event = request;
-    for (int attempt = 0; sends_attempt(tier, event); ++attempt) {
-      const double sent_at = now_;
+    for (int attempt = 0; handle_event(tier, event); ++attempt) {
+      const Seconds sent_at = now_;
       const bool is_success = handle_request(tier + 1);
       const auto outcome = is_success ? balancer::Outcome::kSuccess : balancer::Outcome::kServerError;
       event = balancer::AttemptResult{request.id, attempt, outcome, now_ - sent_at, is_success};
       if (!is_success) continue;
-      sends_attempt(tier, event);
+      handle_event(tier, event);
       return true;
     }
     return false;
   }
 
   bool handle_at_server() {
-    if (++last_tier_attempts_ > kMaxAttempts) throw UnboundedRetriesError(last_tier_attempts_);
+    if (++last_tier_attempts_ > kMaxLastTierAttempts) throw UnboundedRetriesError(last_tier_attempts_);
     now_ += kServerLatency;
     return random_fraction() >= setup_.failure_probability;
   }
 
-  // Whether the tier's balancer sends an attempt upon the event.
-  bool sends_attempt(std::size_t tier, const balancer::Event& event) {
+  // Passes the event to the tier's balancer. Returns whether the balancer sends an attempt then.
+  bool handle_event(std::size_t tier, const balancer::Event& event) {
     std::vector<balancer::Action> actions;
     balancers_[tier].handle(now_, event, actions);
     return std::any_of(actions.begin(), actions.end(), [](const balancer::Action& action) {
@@ -92,7 +94,7 @@
     });
   }
 
-  // From 0 to 1.
+  // A uniformly distributed number, at least 0 and less than 1.
   double random_fraction() {
     random_ = random_ * 6364136223846793005ULL + 1442695040888963407ULL;
     return static_cast<double>(random_ >> 11) * 0x1.0p-53;
@@ -100,35 +102,35 @@
 
   Setup setup_;
   std::vector<balancer::Balancer> balancers_;  // by tier
-  double now_ = 100;                           // s
+  Seconds now_ = 100;
   std::uint64_t random_;
   std::uint64_t last_request_ = 0;
   std::uint64_t last_tier_attempts_ = 0;
 };
 
-// Attempts at the last tier for each request at the first. A tier earns its retries by responses: what keeps
-// failing earns none, at any tier.
+// Limits the attempts at the last tier for each request at the first tier. A tier's retry budget grows with
+// its successful responses, so requests that keep failing add nothing to the budget of any tier.
 TEST(ScaleGuard, RetriesAcrossTiersStayBounded) {
   struct Case {
-    std::optional<double> tenant_quota;  // requests per second; as many are sent
+    std::optional<double> quota_requests_per_second;  // of the tenant, and the rate of the requests
     std::size_t tiers;
     double failure_probability;
-    double max_attempts;  // for each request
+    double max_attempts_per_request;  // at the last tier
   };
   const Case cases[] = {{{}, 8, 0.1, 1.2},  {{}, 28, 0.1, 1.2},  {{}, 8, 0.5, 2.1},  {{}, 28, 0.5, 2.1},
                         {{}, 8, 1, 1.2},    {{}, 28, 1, 1.2},    {100, 8, 0.1, 1.2}, {100, 28, 0.1, 1.2},
                         {100, 8, 0.5, 2.1}, {100, 28, 0.5, 2.1}, {100, 8, 1, 1.2},   {100, 28, 1, 1.2}};
   constexpr std::uint64_t kSeed = 1;
   constexpr int kRequests = 1000;
-  for (const auto& [tenant_quota, tiers, failure_probability, max_attempts] : cases) {
-    TierChain chain({tiers, failure_probability, tenant_quota, kSeed});
+  for (const auto& [quota, tiers, failure_probability, max_attempts_per_request] : cases) {
+    TierChain chain({tiers, failure_probability, quota, kSeed});
     int successes = 0;
     for (int i = 0; i < kRequests; ++i) successes += chain.send_request() ? 1 : 0;
-    const double attempts = static_cast<double>(chain.last_tier_attempts()) / kRequests;
+    const double attempts_per_request = static_cast<double>(chain.last_tier_attempts()) / kRequests;
     std::printf("quota %s, %zu tiers, %.1f fail, seed %d: %.2f attempts for each request, %.2f succeed\n",
-                tenant_quota ? "100" : "none", tiers, failure_probability, static_cast<int>(kSeed), attempts,
-                static_cast<double>(successes) / kRequests);
-    EXPECT_LE(attempts, max_attempts);
+                quota ? "100" : "none", tiers, failure_probability, static_cast<int>(kSeed),
+                attempts_per_request, static_cast<double>(successes) / kRequests);
+    EXPECT_LE(attempts_per_request, max_attempts_per_request);
   }
 }
 
