--- a/scale/benchmark/balancer_trial.cpp
+++ b/scale/benchmark/balancer_trial.cpp
@@ -1,4 +1,4 @@
-// A balancer under load, in a simulated time: each attempt ends by an event.
+// Measures the processor time of a balancer's requests in simulated time: each attempt ends with an event.
 #include "scale/benchmark/balancer_trial.h"
 
 #include <algorithm>
@@ -11,25 +11,26 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr double kMeasurementLimit = 8;  // s of processor time
+constexpr Seconds kMaxMeasurementProcessorTime = 8;
 constexpr std::size_t kWarmUpRequests = 1000;
+// Requests to the degraded subset before the measurement begins.
 constexpr std::size_t kSettlingRequests = 200;
-constexpr double kRequestTimeout = 5;          // s
-constexpr double kLatency = 0.02;              // s
-constexpr double kSaturatedLatency = 0.034;    // s
-constexpr double kConnectFailureTime = 0.001;  // s
+constexpr Seconds kRequestTimeout = 5;
+constexpr Seconds kHealthyLatency = 0.02;
+constexpr Seconds kAtCapacityLatency = 0.034;
+constexpr Seconds kConnectFailureLatency = 0.001;
 constexpr double kSlowStartCapacity = 0.1;
-constexpr double kSlowStartDuration = 3600;  // s
+constexpr Seconds kSlowStartDuration = 3600;
 
-balancer::Settings settings_for(const BalancerTrial::Setup& setup) {
+balancer::Settings settings_for_trial(const BalancerTrial::Setup& setup) {
   NodeSetup node;
   node.replicas = setup.replicas;
   node.tier = setup.subset_state == SubsetState::kAtCapacity ? 0 : 1;
   balancer::Settings settings = balancer_settings(node);
   settings.slow_start_capacity = kSlowStartCapacity;
   settings.slow_start_duration = kSlowStartDuration;
-  const double period = 1 / setup.requests_per_second;
-  settings.tenants[0].quota = static_cast<double>(settings.replica_count) / period;
+  const Seconds request_period = 1 / setup.requests_per_second;
+  settings.tenants[0].quota = static_cast<double>(settings.replica_count) / request_period;
   return settings;
 }
 
@@ -37,8 +38,8 @@
 
 BalancerTrial::BalancerTrial(const Setup& setup)
     : subset_state_(setup.subset_state),
-      period_(1 / setup.requests_per_second),
-      balancer_(settings_for(setup), 1),
+      request_period_(1 / setup.requests_per_second),
+      balancer_(settings_for_trial(setup), 1),
       list_(snapshot_update(setup.servers)) {
   handle(list_);
 }
@@ -51,8 +52,8 @@
   costs_.clear();
   rejected_ = 0;
   Result result;
-  const double started_at = thread_processor_time();
-  while (result.requests < requests && thread_processor_time() - started_at < kMeasurementLimit) {
+  const Seconds started_at = thread_processor_time();
+  while (result.requests < requests && thread_processor_time() - started_at < kMaxMeasurementProcessorTime) {
     send_request();
     ++result.requests;
   }
@@ -64,7 +65,8 @@
   return result;
 }
 
-// With all endpoints healthy: shows which of them are the subset, and teaches the balancer the usual latency.
+// Sends requests while all endpoints are healthy. The attempts show which endpoints are in the subset, and
+// the balancer learns the usual latency.
 void BalancerTrial::warm_up() {
   for (std::size_t i = 0; i < kWarmUpRequests; ++i) send_request();
   end_all_attempts();
@@ -73,25 +75,25 @@
 void BalancerTrial::degrade_subset() {
   is_subset_degraded_ = true;
   if (subset_state_ != SubsetState::kSlowStart) return;
-  balancer::EndpointUpdate restarted;
-  restarted.form = balancer::EndpointUpdate::Form::kIncremental;
+  balancer::EndpointUpdate restarted_endpoints;
+  restarted_endpoints.form = balancer::EndpointUpdate::Form::kIncremental;
   for (balancer::Endpoint endpoint : list_.endpoints) {
     if (!subset_.contains(endpoint.address)) continue;
     endpoint.started_at = now_;
-    restarted.endpoints.push_back(endpoint);
+    restarted_endpoints.endpoints.push_back(endpoint);
   }
-  handle(restarted);
+  handle(restarted_endpoints);
 }
 
-double BalancerTrial::handle(const balancer::Event& event) {
+Seconds BalancerTrial::handle(const balancer::Event& event) {
   actions_.clear();
-  return cost_of([&] { balancer_.handle(now_, event, actions_); });
+  return measure_cost([&] { balancer_.handle(now_, event, actions_); });
 }
 
 void BalancerTrial::send_request() {
-  now_ += period_;
-  const double due = now_;
-  while (!attempt_ends_.empty() && attempt_ends_.top().at <= due) end_next_attempt();
+  now_ += request_period_;
+  const Seconds due = now_;
+  while (!attempt_ends_.empty() && attempt_ends_.top().ends_at <= due) end_next_attempt();
   balancer::Request request;
   request.id = std::to_string(++last_request_);
   request.time_left = kRequestTimeout;
@@ -102,9 +104,9 @@
 void BalancerTrial::end_next_attempt() {
   const AttemptEnd end = attempt_ends_.top();
   attempt_ends_.pop();
-  const double resumed_at = std::exchange(now_, std::max(end.at, last_event_at_));
+  const Seconds resumed_at = std::exchange(now_, std::max(end.ends_at, last_event_at_));
   last_event_at_ = now_;
-  const double cost = handle(end.result);
+  const Seconds cost = handle(end.result);
   if (const auto request = costs_.find(end.result.id); request != costs_.end()) request->second += cost;
   carry_out_actions();
   now_ = std::max(now_, resumed_at);
@@ -125,11 +127,11 @@
 void BalancerTrial::start_attempt(const balancer::SendAttempt& send) {
   if (!is_subset_degraded_) subset_.insert(send.endpoint);
   const bool is_degraded = is_subset_degraded_ && subset_.contains(send.endpoint);
-  double latency = kLatency;
+  Seconds latency = kHealthyLatency;
   balancer::Outcome outcome = balancer::Outcome::kSuccess;
-  if (is_degraded && subset_state_ == SubsetState::kAtCapacity) latency = kSaturatedLatency;
+  if (is_degraded && subset_state_ == SubsetState::kAtCapacity) latency = kAtCapacityLatency;
   if (is_degraded && subset_state_ == SubsetState::kUnreachable) {
-    latency = kConnectFailureTime;
+    latency = kConnectFailureLatency;
     outcome = balancer::Outcome::kConnectFailed;
   }
   const bool is_success = outcome == balancer::Outcome::kSuccess;
--- a/scale/benchmark/balancer_trial.h
+++ b/scale/benchmark/balancer_trial.h
@@ -1,4 +1,4 @@
-// A balancer under load, in a simulated time: each attempt ends by an event.
+// Measures the processor time of a balancer's requests in simulated time: each attempt ends with an event.
 #pragma once
 
 #include <cstddef>
@@ -14,15 +14,16 @@
 
 namespace asterdrift::scale {
 
-// The state of the subset's endpoints during the measurement.
+// The state of the endpoints in the balancer's subset during the measurement.
 enum class SubsetState {
   kHealthy,
-  kUnreachable,  // they refuse connections
-  kSlowStart,    // they have just started
-  kAtCapacity    // tier 0; they respond 1.7 times as slowly as before
+  kUnreachable,  // the endpoints refuse connections
+  kSlowStart,    // the endpoints have just started
+  kAtCapacity    // tier 0; the endpoints' latency is 1.7 times the usual one
 };
 
-// Measures the processor time of one balancer's requests.
+// Sends requests to one balancer at a constant rate, simulates the endpoints' responses, and measures the
+// processor time of the balancer's calls.
 class BalancerTrial {
  public:
   struct Setup {
@@ -32,7 +33,8 @@
     SubsetState subset_state = SubsetState::kHealthy;
   };
   struct Result {
-    std::vector<double> costs;  // s of processor time, ascending: each request and the ends of its attempts
+    // The processor time of each request, with the results of its attempts; in ascending order.
+    std::vector<Seconds> costs;
     std::size_t requests = 0;
     std::size_t rejected = 0;
     std::size_t subset_size = 0;
@@ -40,19 +42,20 @@
 
   explicit BalancerTrial(const Setup& setup);
 
-  // Sends so many requests, fewer where they take too long.
+  // Sends and measures `requests` requests, or fewer if these take more than 8 s of processor time.
   Result run(std::size_t requests);
 
  private:
   struct AttemptEnd {
-    double at;
+    Seconds ends_at;
     balancer::AttemptResult result;
-    bool operator>(const AttemptEnd& other) const { return at > other.at; }
+    bool operator>(const AttemptEnd& other) const { return ends_at > other.ends_at; }
   };
 
   void warm_up();
   void degrade_subset();
-  double handle(const balancer::Event& event);
+  // Returns the processor time of the balancer's call.
+  Seconds handle(const balancer::Event& event);
   void send_request();
   void end_next_attempt();
   void end_all_attempts();
@@ -60,17 +63,17 @@
   void start_attempt(const balancer::SendAttempt& send);
 
   SubsetState subset_state_;
-  double period_;               // s between two requests
-  double now_ = 100;            // s
-  double last_event_at_ = 100;  // s
+  Seconds request_period_;
+  Seconds now_ = 100;
+  Seconds last_event_at_ = 100;
   balancer::Balancer balancer_;
   balancer::EndpointUpdate list_;
-  std::set<std::string> subset_;     // endpoints that the warm-up used
-  bool is_subset_degraded_ = false;  // the warm-up is over
+  std::set<std::string> subset_;     // endpoints that got attempts during the warm-up
+  bool is_subset_degraded_ = false;  // true once the warm-up is over
   std::priority_queue<AttemptEnd, std::vector<AttemptEnd>, std::greater<>> attempt_ends_;
-  std::unordered_map<std::string, double> costs_;  // by request
-  std::unordered_map<std::string, int> attempts_;  // by request
-  std::vector<balancer::Action> actions_;          // of the last event
+  std::unordered_map<std::string, Seconds> costs_;  // by the request's id
+  std::unordered_map<std::string, int> attempts_;   // by the request's id
+  std::vector<balancer::Action> actions_;           // caused by the last event
   std::uint64_t last_request_ = 0;
   std::size_t rejected_ = 0;
 };
--- a/scale/benchmark/benchmarks.h
+++ b/scale/benchmark/benchmarks.h
@@ -1,5 +1,5 @@
-// Scaling benchmarks: what something costs over a size, measured on this machine. They are not part of CI,
-// where only counts are judged. Each prints one report.
+// The scaling benchmarks. Each measures on this machine how a cost grows with a size, and prints one report.
+// The benchmarks are not part of CI, which checks only counts (scale/guards).
 #pragma once
 
 #include <cstddef>
@@ -9,24 +9,24 @@
 
 namespace asterdrift::scale {
 
-// Sizes of the endpoint list by default.
+// The default sizes of the endpoint list, in servers.
 inline const std::vector<std::size_t> kListSizes = {7, 70, 700, 7000, 27000};
 
-// A change and a snapshot, in the balancer and in the list reader.
+// Processor time of a change and of a snapshot, in the balancer and in the endpoint list reader.
 void run_change_benchmark(const Options& options);
-// A request in the balancer, by the state of its subset.
+// Processor time of a request in the balancer, by the state of the balancer's subset.
 void run_request_benchmark(const Options& options);
-// Bytes that the balancer and the list reader allocate.
+// Bytes that the balancer and the endpoint list reader allocate.
 void run_memory_benchmark(const Options& options);
-// Bytes and messages from discovery.
+// Bytes and messages that a node receives from discovery.
 void run_traffic_benchmark(const Options& options);
-// Time until a change reaches all nodes.
+// Time until all nodes have applied a change.
 void run_propagation_benchmark(const Options& options);
-// A node without requests.
+// Memory, processor time and polls of a node that gets no requests.
 void run_idle_benchmark(const Options& options);
-// Polls of a node that cannot get or use a list.
+// Polls of a node that cannot get an endpoint list or cannot use it.
 void run_unusable_list_benchmark(const Options& options);
-// Latency that a node adds.
+// The latency that a node adds to requests.
 void run_latency_benchmark(const Options& options);
 
 }  // namespace asterdrift::scale
--- a/scale/benchmark/change_benchmark.cpp
+++ b/scale/benchmark/change_benchmark.cpp
@@ -1,4 +1,4 @@
-// The cost of a change and of a snapshot, in the balancer and in the list reader.
+// The processor time of a change and of a snapshot, in the balancer and in the endpoint list reader.
 #include <string>
 #include <vector>
 
@@ -14,39 +14,42 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr int kSnapshotRuns = 5;
+constexpr int kFirstSnapshotRuns = 5;
 constexpr int kRepeatedSnapshotRuns = 11;
-constexpr int kReadChangeRuns = 1001;
-constexpr int kReadSnapshotRuns = 11;
-constexpr std::size_t kLongList = 1000;  // servers; longer lists see fewer changes
+constexpr int kParseChangeRuns = 1001;
+constexpr int kParseSnapshotRuns = 11;
+constexpr std::size_t kMaxShortListServers = 1000;  // longer lists are measured with fewer changes
 constexpr int kLongListChanges = 101;
 constexpr int kShortListChanges = 1001;
-constexpr std::size_t kChangeStep = 7919;  // indices from one changed server to the next
-constexpr double kChangePeriod = 0.1;      // s of the balancer's time
+constexpr std::size_t kChangedIndexStep = 7919;  // from one changed server to the next
+constexpr Seconds kChangePeriod = 0.1;           // in simulated time
 
-std::string microseconds(double seconds) { return format_fixed(seconds * 1e6, 2); }
+std::string format_microseconds(Seconds duration) { return format_fixed(duration * 1e6, 2); }
 
-// A balancer that applies lists and changes, in a simulated time.
+// A balancer that applies snapshots and changes in simulated time. The functions return processor times in
+// ascending order.
 class ChangeTrial {
  public:
   ChangeTrial(std::size_t servers, std::size_t replicas)
-      : replicas_(replicas), snapshot_(snapshot_update(servers)), balancer_(settings_for(replicas), 1) {
+      : replicas_(replicas),
+        snapshot_(snapshot_update(servers)),
+        balancer_(settings_for_replicas(replicas), 1) {
     balancer_.handle(now_, snapshot_, actions_);
   }
 
-  // With reading the settings and making the balancer.
-  std::vector<double> first_snapshot_costs() {
-    return costs_of(kSnapshotRuns, [&](int) {
-      balancer::Balancer balancer(settings_for(replicas_), 1);
+  // The first snapshot of a new balancer, with reading the settings and constructing the balancer.
+  std::vector<Seconds> first_snapshot_costs() {
+    return measure_costs(kFirstSnapshotRuns, [&](int) {
+      balancer::Balancer balancer(settings_for_replicas(replicas_), 1);
       balancer.handle(now_, snapshot_, actions_);
     });
   }
 
-  // A server drains, or is ready again.
-  std::vector<double> change_costs() {
+  // Changes in which a server starts to drain, or the one that drains is ready again.
+  std::vector<Seconds> change_costs() {
     const std::size_t servers = snapshot_.endpoints.size();
-    return costs_of(servers > kLongList ? kLongListChanges : kShortListChanges, [&](int run) {
-      const std::size_t index = static_cast<std::size_t>(run / 2) * kChangeStep % servers;
+    return measure_costs(servers > kMaxShortListServers ? kLongListChanges : kShortListChanges, [&](int run) {
+      const std::size_t index = static_cast<std::size_t>(run / 2) * kChangedIndexStep % servers;
       balancer::EndpointUpdate change;
       change.form = balancer::EndpointUpdate::Form::kIncremental;
       change.endpoints = {snapshot_.endpoints[index]};
@@ -55,13 +58,14 @@
     });
   }
 
-  std::vector<double> repeated_snapshot_costs() {
-    return costs_of(kRepeatedSnapshotRuns,
-                    [&](int) { balancer_.handle(now_ += kChangePeriod, snapshot_, actions_); });
+  // A snapshot that equals the one which the balancer has already applied.
+  std::vector<Seconds> repeated_snapshot_costs() {
+    return measure_costs(kRepeatedSnapshotRuns,
+                         [&](int) { balancer_.handle(now_ += kChangePeriod, snapshot_, actions_); });
   }
 
  private:
-  static balancer::Settings settings_for(std::size_t replicas) {
+  static balancer::Settings settings_for_replicas(std::size_t replicas) {
     NodeSetup setup;
     setup.replicas = replicas;
     return balancer_settings(setup);
@@ -71,11 +75,12 @@
   balancer::EndpointUpdate snapshot_;
   balancer::Balancer balancer_;
   std::vector<balancer::Action> actions_;
-  double now_ = 100;  // s
+  Seconds now_ = 100;
 };
 
-std::vector<double> read_costs(int runs, const std::string& list) {
-  return costs_of(runs, [&](int) { node::config::parse_endpoint_list(list, endpoint_zones()); });
+// The processor times of parsing the list, in ascending order.
+std::vector<Seconds> parse_costs(int runs, const std::string& list) {
+  return measure_costs(runs, [&](int) { node::config::parse_endpoint_list(list, endpoint_zones()); });
 }
 
 }  // namespace
@@ -87,17 +92,17 @@
   for (const std::size_t servers : options.sizes("sizes", kListSizes)) {
     const double replicas = options.number("replicas", static_cast<double>(servers));
     ChangeTrial trial(servers, static_cast<std::size_t>(replicas));
-    const std::vector<double> snapshots = trial.first_snapshot_costs();
-    const std::vector<double> changes = trial.change_costs();
-    const std::vector<double> repeated = trial.repeated_snapshot_costs();
+    const std::vector<Seconds> snapshots = trial.first_snapshot_costs();
+    const std::vector<Seconds> changes = trial.change_costs();
+    const std::vector<Seconds> repeated = trial.repeated_snapshot_costs();
     const std::string snapshot = snapshot_text(1, servers, kUnusedEndpointPort);
     const std::string change = change_text(2, servers / 2, kUnusedEndpointPort, "leaving");
-    const std::vector<double> read_changes = read_costs(kReadChangeRuns, change);
-    const std::vector<double> read_snapshots = read_costs(kReadSnapshotRuns, snapshot);
-    report.add_row({std::to_string(servers), microseconds(median(changes)), microseconds(changes.back()),
-                    microseconds(median(snapshots)), microseconds(median(repeated)),
-                    microseconds(median(read_changes)), microseconds(median(read_snapshots)),
-                    std::to_string(snapshot.size())});
+    const std::vector<Seconds> read_changes = parse_costs(kParseChangeRuns, change);
+    const std::vector<Seconds> read_snapshots = parse_costs(kParseSnapshotRuns, snapshot);
+    report.add_row({std::to_string(servers), format_microseconds(median(changes)),
+                    format_microseconds(changes.back()), format_microseconds(median(snapshots)),
+                    format_microseconds(median(repeated)), format_microseconds(median(read_changes)),
+                    format_microseconds(median(read_snapshots)), std::to_string(snapshot.size())});
   }
   report.add_note(
       "change: a server drains, or is ready again. As many replicas as servers unless --replicas is given.");
--- a/scale/benchmark/idle_benchmark.cpp
+++ b/scale/benchmark/idle_benchmark.cpp
@@ -1,8 +1,9 @@
-// A node without requests, at different rates of changes.
+// The memory, processor time and polls of a node that gets no requests, at different rates of endpoint
+// changes.
 #include <string>
 
 #include "scale/benchmark/benchmarks.h"
-#include "scale/benchmark/node_run.h"
+#include "scale/benchmark/node_measurement.h"
 #include "scale/measurement/report.h"
 #include "scale/stand_ins/discovery_process.h"
 #include "scale/stand_ins/endpoint_lists.h"
@@ -12,49 +13,51 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr double kReadyLimit = 10;   // s
-constexpr double kSettleTime = 0.5;  // s
+constexpr Seconds kReadyTimeout = 10;
+constexpr Seconds kSettlingTime = 0.5;  // after the change rate is set, before the measurement
 
-std::vector<std::string> measure(const std::string& program, std::size_t servers, double change_rate,
-                                 double duration_s, ListDelivery list_delivery) {
+// Measures one node, and returns the row of the report.
+std::vector<std::string> measure_row(const std::string& program, std::size_t servers,
+                                     double changes_per_second, Seconds duration,
+                                     ListDelivery list_delivery) {
   DiscoveryProcess discovery(servers, kUnusedEndpointPort);
   NodeSetup setup;
   setup.discovery_port = discovery.port();
   setup.replicas = servers;
   setup.list_delivery = list_delivery;
-  const test_support::Stopwatch start;
+  const test_support::Stopwatch stopwatch;
   const MeasuredNode node(program, setup);
-  const bool is_ready = node.wait_ready(kReadyLimit);
-  const double ready_after = start.seconds();
-  discovery.set_change_rate(change_rate);
-  sleep_for(kSettleTime);
-  const NodeRun run = measure_node(node, discovery, duration_s);
+  const bool is_ready = node.wait_ready(kReadyTimeout);
+  const Seconds ready_after = stopwatch.seconds();
+  discovery.set_change_rate(changes_per_second);
+  sleep_for(kSettlingTime);
+  const NodeMeasurement measurement = measure_node(node, discovery, duration);
   return {std::to_string(servers),
-          format_fixed(change_rate, 0),
+          format_fixed(changes_per_second, 0),
           is_ready ? format_fixed(ready_after, 3) : "no",
-          format_fixed(run.usage.resident_mb, 2),
-          format_fixed(run.usage.peak_mb, 2),
-          format_fixed(run.processor_percent, 3),
-          format_fixed(run.kilobytes_per_second, 2),
-          format_fixed(run.polls_per_second, 2)};
+          format_fixed(measurement.usage.resident_mb, 2),
+          format_fixed(measurement.usage.peak_mb, 2),
+          format_fixed(measurement.processor_percent, 3),
+          format_fixed(measurement.kilobytes_per_second, 2),
+          format_fixed(measurement.polls_per_second, 2)};
 }
 
 }  // namespace
 
 void run_idle_benchmark(const Options& options) {
-  const double duration_s = options.number("seconds", 10);
+  const Seconds duration = options.number("seconds", 10);
   const std::string program = options.text("node", NODE);
   const bool is_subscribed = options.flag("subscribe");
   const ListDelivery list_delivery = is_subscribed ? ListDelivery::kSubscribed : ListDelivery::kPushed;
   Report report("a node without requests", {"servers", "changes/s", "ready after s", "resident MB", "peak MB",
                                             "% of a core", "from discovery KB/s", "polls/s"});
   for (const std::size_t servers : options.sizes("sizes", kListSizes)) {
-    for (const double rate : options.numbers("rates", {0, 5, 50})) {
-      report.add_row(measure(program, servers, rate, duration_s, list_delivery));
+    for (const double changes_per_second : options.numbers("rates", {0, 5, 50})) {
+      report.add_row(measure_row(program, servers, changes_per_second, duration, list_delivery));
     }
   }
-  report.add_note("over " + format_fixed(duration_s, 0) + " s each, after the node was ready or " +
-                  format_fixed(kReadyLimit, 0) + " s had passed; lists are " +
+  report.add_note("over " + format_fixed(duration, 0) + " s each, after the node was ready or " +
+                  format_fixed(kReadyTimeout, 0) + " s had passed; lists are " +
                   (is_subscribed ? "subscribed" : "pushed") + ". Its admin address is not open.");
   report.print(options.text("json", ""));
 }
--- a/scale/benchmark/main.cpp
+++ b/scale/benchmark/main.cpp
@@ -1,4 +1,4 @@
-// scaling_benchmark NAME [--json FILE] [options]: runs one benchmark.
+// The program scaling_benchmark NAME [--json FILE] [options], which runs one benchmark.
 #include <algorithm>
 #include <csignal>
 #include <cstdio>
@@ -12,8 +12,8 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr int kFailure = 1;
-constexpr int kUsageError = 2;
+constexpr int kFailureExitCode = 1;
+constexpr int kUsageErrorExitCode = 2;
 
 struct Benchmark {
   std::string name;
@@ -72,15 +72,15 @@
   }
 }
 
-int run(const Benchmark& benchmark, const std::vector<std::string>& words) {
+int run(const Benchmark& benchmark, const std::vector<std::string>& arguments) {
   std::vector<OptionDescription> known = benchmark.options;
   known.push_back(kJsonOption);
   try {
-    benchmark.run(Options(words, known));
+    benchmark.run(Options(arguments, known));
     return 0;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "scaling_benchmark %s: %s\n", benchmark.name.c_str(), error.what());
-    return kFailure;
+    return kFailureExitCode;
   }
 }
 
@@ -90,13 +90,13 @@
 int main(int argc, char** argv) {
   using namespace asterdrift::scale;
   std::signal(SIGPIPE, SIG_IGN);
-  const std::vector<std::string> words(argv + 1, argv + argc);
+  const std::vector<std::string> arguments(argv + 1, argv + argc);
   const auto benchmark = std::find_if(
       benchmarks().begin(), benchmarks().end(),
-      [&](const Benchmark& candidate) { return !words.empty() && candidate.name == words.front(); });
+      [&](const Benchmark& candidate) { return !arguments.empty() && candidate.name == arguments.front(); });
   if (benchmark == benchmarks().end()) {
     print_usage();
-    return kUsageError;
+    return kUsageErrorExitCode;
   }
-  return run(*benchmark, {words.begin() + 1, words.end()});
+  return run(*benchmark, {arguments.begin() + 1, arguments.end()});
 }
--- a/scale/benchmark/memory_benchmark.cpp
+++ b/scale/benchmark/memory_benchmark.cpp
@@ -1,4 +1,4 @@
-// Bytes that the balancer and the list reader allocate.
+// The bytes that the balancer and the endpoint list reader allocate.
 #include <string>
 #include <vector>
 
@@ -13,13 +13,14 @@
 namespace asterdrift::scale {
 namespace {
 
+// The memory of a parsed endpoint list, and the list as an event of the balancer.
 struct ListMemory {
-  std::size_t live_bytes = 0;
-  std::size_t peak_bytes = 0;  // while it was read
+  std::size_t live_bytes = 0;  // of the parsed list
+  std::size_t peak_bytes = 0;  // while the list was parsed
   balancer::EndpointUpdate update;
 };
 
-ListMemory read_list(const std::string& text) {
+ListMemory measure_list(const std::string& text) {
   ListMemory memory;
   const std::size_t before = allocations().live_bytes;
   reset_peak();
@@ -30,15 +31,16 @@
   return memory;
 }
 
+// The memory of a balancer in the course of its endpoint list and two changes.
 struct BalancerMemory {
-  std::size_t empty_bytes = 0;         // without endpoints
-  std::size_t live_bytes = 0;          // with all of them
-  std::size_t peak_bytes = 0;          // while it applied the list
-  std::size_t live_bytes_changed = 0;  // after two changes, with the event of a change
-  Allocations second_change;           // its count and bytes
+  std::size_t empty_bytes = 0;               // before the balancer has endpoints
+  std::size_t live_bytes = 0;                // with all endpoints
+  std::size_t peak_bytes = 0;                // while the balancer applied the list
+  std::size_t live_bytes_after_changes = 0;  // after both changes, with the event of the second one
+  Allocations second_change;                 // only `count` and `bytes` are set
 };
 
-BalancerMemory apply_list(const balancer::EndpointUpdate& list, const balancer::Settings& settings) {
+BalancerMemory measure_balancer(const balancer::EndpointUpdate& list, const balancer::Settings& settings) {
   BalancerMemory memory;
   std::vector<balancer::Action> actions;
   const std::size_t before = allocations().live_bytes;
@@ -58,7 +60,7 @@
   const Allocations before_change = allocations();
   balancer.handle(102, change, actions);
   const Allocations after_change = allocations();
-  memory.live_bytes_changed = after_change.live_bytes - before;
+  memory.live_bytes_after_changes = after_change.live_bytes - before;
   memory.second_change.count = after_change.count - before_change.count;
   memory.second_change.bytes = after_change.bytes - before_change.bytes;
   return memory;
@@ -75,13 +77,13 @@
     NodeSetup setup;
     setup.replicas = static_cast<std::size_t>(options.number("replicas", static_cast<double>(servers)));
     const balancer::Settings settings = balancer_settings(setup);
-    const ListMemory list = read_list(snapshot_text(1, servers, kUnusedEndpointPort));
-    const BalancerMemory balancer = apply_list(list.update, settings);
+    const ListMemory list = measure_list(snapshot_text(1, servers, kUnusedEndpointPort));
+    const BalancerMemory balancer = measure_balancer(list.update, settings);
     const auto endpoint_bytes = static_cast<double>(balancer.live_bytes - balancer.empty_bytes);
     report.add_row({std::to_string(servers), std::to_string(balancer.live_bytes),
                     format_fixed(endpoint_bytes / static_cast<double>(servers)),
                     std::to_string(balancer.peak_bytes), std::to_string(list.live_bytes),
-                    std::to_string(list.peak_bytes), std::to_string(balancer.live_bytes_changed),
+                    std::to_string(list.peak_bytes), std::to_string(balancer.live_bytes_after_changes),
                     std::to_string(balancer.second_change.bytes),
                     std::to_string(balancer.second_change.count)});
   }
--- a/scale/benchmark/options.cpp
+++ b/scale/benchmark/options.cpp
@@ -1,4 +1,4 @@
-// The options of a benchmark's command line.
+// Parses the command-line options of a benchmark.
 #include "scale/benchmark/options.h"
 
 #include <algorithm>
@@ -14,15 +14,16 @@
   try {
     return std::stod(text);
   } catch (const std::exception&) {
-    throw OptionError(kPrefix + option, "'" + text + "' is no number");
+    throw OptionError(kPrefix + option, "the value '" + text + "' is not a number");
   }
 }
 
-const OptionDescription& find_option(const std::vector<OptionDescription>& known, const std::string& word) {
+const OptionDescription& find_option(const std::vector<OptionDescription>& known,
+                                     const std::string& argument) {
   const auto option = std::find_if(known.begin(), known.end(), [&](const OptionDescription& description) {
-    return word == kPrefix + description.name;
+    return argument == kPrefix + description.name;
   });
-  if (option == known.end()) throw OptionError(word, "unknown");
+  if (option == known.end()) throw OptionError(argument, "unknown to this benchmark");
   return *option;
 }
 
@@ -31,15 +32,17 @@
 OptionError::OptionError(const std::string& option, const std::string& reason)
     : std::runtime_error("option " + option + ": " + reason) {}
 
-Options::Options(const std::vector<std::string>& words, const std::vector<OptionDescription>& known) {
-  for (std::size_t position = 0; position < words.size(); ++position) {
-    const OptionDescription& option = find_option(known, words[position]);
+Options::Options(const std::vector<std::string>& arguments, const std::vector<OptionDescription>& known) {
+  for (std::size_t position = 0; position < arguments.size(); ++position) {
+    const OptionDescription& option = find_option(known, arguments[position]);
     if (!option.has_value) {
       values_[option.name] = "";
       continue;
     }
-    if (position + 1 == words.size()) throw OptionError(words[position], "without a value");
-    values_[option.name] = words[++position];
+    if (position + 1 == arguments.size()) {
+      throw OptionError(arguments[position], "expected a value after the option");
+    }
+    values_[option.name] = arguments[++position];
   }
 }
 
@@ -57,9 +60,9 @@
   const auto value = values_.find(name);
   if (value == values_.end()) return default_value;
   std::vector<double> numbers;
-  std::istringstream texts(value->second);
-  for (std::string text; std::getline(texts, text, ',');) numbers.push_back(parse_number(name, text));
-  if (numbers.empty()) throw OptionError(kPrefix + name, "without a number");
+  std::istringstream elements(value->second);
+  for (std::string text; std::getline(elements, text, ',');) numbers.push_back(parse_number(name, text));
+  if (numbers.empty()) throw OptionError(kPrefix + name, "expected a number, or numbers separated by commas");
   return numbers;
 }
 
--- a/scale/benchmark/options.h
+++ b/scale/benchmark/options.h
@@ -1,4 +1,4 @@
-// The options of a benchmark's command line.
+// Parses the command-line options of a benchmark.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace asterdrift::scale {
 
-// An option that is unknown, or has no value that can be used.
+// Thrown for an unknown option, and for one whose value is missing or malformed.
 class OptionError : public std::runtime_error {
  public:
   OptionError(const std::string& option, const std::string& reason);
@@ -21,17 +21,20 @@
   bool has_value = true;
 };
 
-// The values of `--name value` pairs, and the flags, that a command line gives.
+// The options on a command line: `--name value` pairs, and flags without a value.
 class Options {
  public:
-  Options(const std::vector<std::string>& words, const std::vector<OptionDescription>& known);
+  // Throws OptionError unless each of the arguments is a known option or its value.
+  Options(const std::vector<std::string>& arguments, const std::vector<OptionDescription>& known);
 
+  // The value of an option, or the default if the option is not given. A malformed number throws OptionError.
   std::string text(const std::string& name, const std::string& default_value) const;
   double number(const std::string& name, double default_value) const;
-  // A list of numbers, separated by commas.
+  // The value is a list of numbers that are separated by commas.
   std::vector<double> numbers(const std::string& name, const std::vector<double>& default_value) const;
   std::vector<std::size_t> sizes(const std::string& name,
                                  const std::vector<std::size_t>& default_value) const;
+  // Whether the option is given.
   bool flag(const std::string& name) const { return values_.contains(name); }
 
  private:
--- a/scale/benchmark/propagation_benchmark.cpp
+++ b/scale/benchmark/propagation_benchmark.cpp
@@ -1,4 +1,4 @@
-// The time from a change until all of many simulated nodes have applied it.
+// The time from a change of an endpoint until all of many simulated nodes have applied the change.
 #include <unistd.h>
 
 #include <algorithm>
@@ -26,64 +26,68 @@
 
 using test_support::steady_seconds;
 
-constexpr double kListLimit = 30;               // s, until all nodes have a list
-constexpr double kPause = 0.1;                  // s, before a change
-constexpr std::size_t kSpareDescriptors = 100;  // for all but the nodes
+constexpr Seconds kListTimeout = 30;               // until all nodes have applied a list
+constexpr Seconds kPauseBeforeChange = 0.1;        // before each change
+constexpr std::size_t kReservedDescriptors = 100;  // for everything except the nodes' connections
 
-// Nodes in this process, and discovery in another.
+// Simulated nodes in this process, and the stand-in discovery in another process.
 class PropagationTrial {
  public:
   PropagationTrial(std::size_t servers, std::size_t nodes, ListDelivery list_delivery)
       : servers_(servers), discovery_(servers, kUnusedEndpointPort) {
     for (std::size_t index = 0; index < nodes; ++index) {
       const NodeSetup setup = replica_setup(discovery_.port(), index, nodes, list_delivery);
-      nodes_.push_back(std::make_unique<SimulatedNode>(io_, config_text(setup),
-                                                       [this](SimulatedNode& node) { record(node); }));
+      nodes_.push_back(std::make_unique<SimulatedNode>(
+          io_, config_text(setup), [this](SimulatedNode& node) { handle_applied_list(node); }));
     }
   }
 
-  // Starts all nodes at once. False where not all of them get a list in time.
+  // Starts all nodes at once. Returns whether all of them have applied a list within the timeout.
   bool start() {
-    const double started_at = steady_seconds();
+    const Seconds started_at = steady_seconds();
     for (const auto& node : nodes_) node->start();
     const bool all_ready = wait_for_nodes();
-    start_time_ = applied_at_.empty() ? 0 : applied_at_.back() - started_at;
+    time_until_last_ready_ = applied_at_.empty() ? 0 : applied_at_.back() - started_at;
     return all_ready;
   }
 
-  // Drains a server, or makes the one drained last ready again. False where not all nodes apply it in time.
-  bool change(int number) {
-    run_for(io_, kPause);
+  // Drains a server if the number of the change is even, and makes that server ready again if it is odd.
+  // Returns whether all nodes have applied the change within the timeout.
+  bool change_endpoint(int change_number) {
+    run_for(io_, kPauseBeforeChange);
     applied_at_.clear();
     expected_version_ += 1;
-    const std::size_t index = static_cast<std::size_t>(number / 2) % servers_;
-    const bool drains = number % 2 == 0;
-    drained_server_ = drains ? endpoint_name(index) : "";
-    const double changed_at = discovery_.set_draining(index, drains);
+    const std::size_t index = static_cast<std::size_t>(change_number / 2) % servers_;
+    const bool drains = change_number % 2 == 0;
+    draining_server_ = drains ? endpoint_name(index) : "";
+    const Seconds changed_at = discovery_.set_draining(index, drains);
     if (!wait_for_nodes()) return false;
-    half_times_.push_back(applied_at_[nodes_.size() / 2] - changed_at);
-    last_times_.push_back(applied_at_.back() - changed_at);
+    times_until_half_.push_back(applied_at_[nodes_.size() / 2] - changed_at);
+    times_until_last_.push_back(applied_at_.back() - changed_at);
     return true;
   }
 
   DiscoveryCounts counts() { return discovery_.counts(); }
-  double start_time() const { return start_time_; }
-  // Of each change, until half of the nodes and until the last one had applied it.
-  const std::vector<double>& half_times() const { return half_times_; }
-  const std::vector<double>& last_times() const { return last_times_; }
-  std::size_t requests_to_drained() const { return requests_to_drained_; }
+  // From the start of all nodes until the last one had applied a list; 0 if none has.
+  Seconds time_until_last_ready() const { return time_until_last_ready_; }
+  // For each change, the time until half of the nodes had applied the change.
+  const std::vector<Seconds>& times_until_half() const { return times_until_half_; }
+  // For each change, the time until the last node had applied the change.
+  const std::vector<Seconds>& times_until_last() const { return times_until_last_; }
+  // The number of requests that nodes sent to the draining server after they had applied the change.
+  std::size_t requests_to_draining() const { return requests_to_draining_; }
 
  private:
-  // Each node sends a request as soon as it has applied a list.
-  void record(SimulatedNode& node) {
+  // Called when a node has applied a list. Sends a request through the node, and records the time.
+  void handle_applied_list(SimulatedNode& node) {
     if (node.list_version() != expected_version_) return;
     const std::string server = node.handle_request();
-    if (!drained_server_.empty() && server == drained_server_) ++requests_to_drained_;
+    if (!draining_server_.empty() && server == draining_server_) ++requests_to_draining_;
     applied_at_.push_back(steady_seconds());
   }
 
   bool wait_for_nodes() {
-    return run_until(io_, kListLimit, [&] { return applied_at_.size() >= nodes_.size(); });
+    return run_until(io_, kListTimeout, [&] { return applied_at_.size() >= nodes_.size(); });
   }
 
   std::size_t servers_;
@@ -91,53 +95,56 @@
   boost::asio::io_context io_{1};
   std::vector<std::unique_ptr<SimulatedNode>> nodes_;
   std::uint64_t expected_version_ = 1;
-  std::string drained_server_;
-  std::vector<double> applied_at_;  // of the expected version, by each node that has it
-  double start_time_ = 0;
-  std::vector<double> half_times_, last_times_;
-  std::size_t requests_to_drained_ = 0;
+  std::string draining_server_;
+  std::vector<Seconds> applied_at_;  // when each node applied the expected version, in ascending order
+  Seconds time_until_last_ready_ = 0;
+  std::vector<Seconds> times_until_half_, times_until_last_;
+  std::size_t requests_to_draining_ = 0;
 };
 
+// Throws std::system_error unless this process may open a connection for each node.
 void require_descriptors(std::size_t nodes) {
   const std::size_t limit = raise_descriptor_limit();
-  if (nodes + kSpareDescriptors <= limit) return;
-  throw std::system_error(
-      EMFILE, std::generic_category(),
-      std::to_string(nodes) + " nodes with a limit of " + std::to_string(limit) + " descriptors");
+  if (nodes + kReservedDescriptors <= limit) return;
+  throw std::system_error(EMFILE, std::generic_category(),
+                          std::to_string(nodes) + " nodes need " +
+                              std::to_string(nodes + kReservedDescriptors) +
+                              " open files, but the limit (RLIMIT_NOFILE) is " + std::to_string(limit));
 }
 
-std::string milliseconds(double seconds) { return format_fixed(seconds * 1000, 2); }
+std::string format_milliseconds(Seconds duration) { return format_fixed(duration * 1000, 2); }
 
-std::vector<std::string> measure(std::size_t servers, std::size_t nodes, int repeats,
-                                 ListDelivery list_delivery) {
+// Measures one fleet of nodes, and returns the row of the report.
+std::vector<std::string> measure_row(std::size_t servers, std::size_t nodes, int changes,
+                                     ListDelivery list_delivery) {
   const std::string incomplete = "not all";
   PropagationTrial trial(servers, nodes, list_delivery);
   const bool all_ready = trial.start();
   const DiscoveryCounts before = trial.counts();
   bool all_changed = all_ready;
-  for (int number = 0; all_changed && number < repeats; ++number) all_changed = trial.change(number);
+  for (int number = 0; all_changed && number < changes; ++number) all_changed = trial.change_endpoint(number);
   const DiscoveryCounts after = trial.counts();
   const std::uint64_t change_bytes =
-      (after.bytes - before.bytes) / nodes / static_cast<std::uint64_t>(repeats);
-  const auto text = [&](double seconds) { return all_changed ? milliseconds(seconds) : incomplete; };
-  std::vector<double> last_times = trial.last_times();
-  std::sort(last_times.begin(), last_times.end());
+      (after.bytes - before.bytes) / nodes / static_cast<std::uint64_t>(changes);
+  const auto format_time = [&](Seconds time) { return all_changed ? format_milliseconds(time) : incomplete; };
+  std::vector<Seconds> times_until_last = trial.times_until_last();
+  std::sort(times_until_last.begin(), times_until_last.end());
   return {std::to_string(nodes),
-          text(median(trial.half_times())),
-          text(median(last_times)),
-          text(quantile(last_times, 1)),
-          all_ready ? milliseconds(trial.start_time()) : incomplete,
+          format_time(median(trial.times_until_half())),
+          format_time(median(times_until_last)),
+          format_time(quantile(times_until_last, 1)),
+          all_ready ? format_milliseconds(trial.time_until_last_ready()) : incomplete,
           std::to_string(before.bytes / nodes),
           std::to_string(change_bytes),
-          std::to_string(trial.requests_to_drained()),
-          format_fixed(usage_of(getpid()).resident_mb)};
+          std::to_string(trial.requests_to_draining()),
+          format_fixed(read_process_usage(getpid()).resident_mb)};
 }
 
 }  // namespace
 
 void run_propagation_benchmark(const Options& options) {
   const auto servers = static_cast<std::size_t>(options.number("servers", 70));
-  const int repeats = static_cast<int>(options.number("repeats", 11));
+  const int changes = static_cast<int>(options.number("repeats", 11));
   const ListDelivery list_delivery =
       options.flag("subscribe") ? ListDelivery::kSubscribed : ListDelivery::kPushed;
   Report report("time from a change until N simulated nodes have applied it, ms; and of all starting at once",
@@ -145,9 +152,9 @@
                  "change bytes", "requests to a drained server", "this process MB"});
   for (const std::size_t nodes : options.sizes("nodes", {10, 100, 1000, 4000})) {
     require_descriptors(nodes);
-    report.add_row(measure(servers, nodes, repeats, list_delivery));
+    report.add_row(measure_row(servers, nodes, changes, list_delivery));
   }
-  report.add_note(std::to_string(servers) + " servers on the list, " + std::to_string(repeats) +
+  report.add_note(std::to_string(servers) + " servers on the list, " + std::to_string(changes) +
                   " changes; bytes are those of one node. Each node sends a request as soon as it has");
   report.add_note(
       "applied a list. All simulated nodes share one thread, so their own work adds up; a real fleet's does "
--- a/scale/benchmark/request_benchmark.cpp
+++ b/scale/benchmark/request_benchmark.cpp
@@ -1,4 +1,4 @@
-// The cost of a request in the balancer.
+// The processor time of a request in the balancer, by the state of the balancer's subset.
 #include <numeric>
 #include <string>
 
@@ -10,21 +10,21 @@
 namespace asterdrift::scale {
 namespace {
 
-struct NamedState {
+struct NamedSubsetState {
   SubsetState state;
   std::string name;
 };
 
-std::string microseconds(double seconds) { return format_fixed(seconds * 1e6, 2); }
+std::string format_microseconds(Seconds duration) { return format_fixed(duration * 1e6, 2); }
 
 }  // namespace
 
 void run_request_benchmark(const Options& options) {
   const auto requests = static_cast<std::size_t>(options.number("requests", 20000));
-  const NamedState states[] = {{SubsetState::kHealthy, "healthy"},
-                               {SubsetState::kUnreachable, "unreachable"},
-                               {SubsetState::kSlowStart, "slow start"},
-                               {SubsetState::kAtCapacity, "at capacity"}};
+  const NamedSubsetState states[] = {{SubsetState::kHealthy, "healthy"},
+                                     {SubsetState::kUnreachable, "unreachable"},
+                                     {SubsetState::kSlowStart, "slow start"},
+                                     {SubsetState::kAtCapacity, "at capacity"}};
   Report report("cost of a request in the balancer, microseconds of processor time",
                 {"servers", "subset", "subset size", "mean", "p99", "p99.9", "max", "rejected"});
   for (const std::size_t servers : options.sizes("sizes", kListSizes)) {
@@ -35,11 +35,12 @@
       setup.requests_per_second = options.number("requests-per-s", 330);
       setup.subset_state = state;
       const BalancerTrial::Result result = BalancerTrial(setup).run(requests);
-      const double sum = std::accumulate(result.costs.begin(), result.costs.end(), 0.0);
+      const Seconds total_cost = std::accumulate(result.costs.begin(), result.costs.end(), 0.0);
       report.add_row({std::to_string(servers), name, std::to_string(result.subset_size),
-                      microseconds(sum / static_cast<double>(result.costs.size())),
-                      microseconds(quantile(result.costs, 0.99)), microseconds(quantile(result.costs, 0.999)),
-                      microseconds(result.costs.back()),
+                      format_microseconds(total_cost / static_cast<double>(result.costs.size())),
+                      format_microseconds(quantile(result.costs, 0.99)),
+                      format_microseconds(quantile(result.costs, 0.999)),
+                      format_microseconds(result.costs.back()),
                       std::to_string(result.rejected) + " of " + std::to_string(result.requests)});
     }
   }
--- a/scale/benchmark/traffic_benchmark.cpp
+++ b/scale/benchmark/traffic_benchmark.cpp
@@ -1,4 +1,4 @@
-// What one simulated node receives from discovery.
+// The bytes and messages that one simulated node receives from discovery.
 #include <boost/asio/io_context.hpp>
 #include <memory>
 #include <string>
@@ -14,11 +14,12 @@
 namespace asterdrift::scale {
 namespace {
 
-constexpr double kReadyLimit = 3;     // s
-constexpr double kSettleTime = 0.2;   // s
-constexpr double kChangeLimit = 0.2;  // s
+constexpr Seconds kReadyTimeout = 3;
+constexpr Seconds kSettlingTime = 0.2;  // after the start, before the change
+constexpr Seconds kChangeTimeout = 0.2;
 
-// One node and its discovery, with their counts after each step.
+// One node and its discovery. The trial records discovery's counts after each phase: start, change and idle
+// time.
 class TrafficTrial {
  public:
   TrafficTrial(boost::asio::io_context& io, std::size_t servers, ListDelivery list_delivery)
@@ -30,21 +31,22 @@
     node_ = std::make_unique<SimulatedNode>(io, config_text(setup));
   }
 
-  void run_start() {
+  void run_start_phase() {
     node_->start();
-    is_ready_ = run_until(io_, kReadyLimit, [&] { return node_->has_endpoints(); });
-    run_for(io_, kSettleTime);
+    is_ready_ = run_until(io_, kReadyTimeout, [&] { return node_->has_endpoints(); });
+    run_for(io_, kSettlingTime);
     after_start_ = discovery_.counts();
   }
 
-  void run_change() {
+  void run_change_phase() {
     discovery_.set_draining(servers_ / 2, true);
-    run_until(io_, kChangeLimit, [&] { return node_->list_version() == discovery_.version(); });
+    run_until(io_, kChangeTimeout, [&] { return node_->list_version() == discovery_.version(); });
     after_change_ = discovery_.counts();
   }
 
-  void begin_idle() { before_idle_ = discovery_.counts(); }
+  void begin_idle_phase() { before_idle_ = discovery_.counts(); }
 
+  // The row of the report, with the idle phase until now.
   std::vector<std::string> row() const {
     const DiscoveryCounts& after_idle = discovery_.counts();
     return {std::to_string(servers_),
@@ -72,7 +74,7 @@
 }  // namespace
 
 void run_traffic_benchmark(const Options& options) {
-  const double idle_time = options.number("seconds", 60);
+  const Seconds idle_duration = options.number("seconds", 60);
   const bool is_subscribed = options.flag("subscribe");
   const ListDelivery list_delivery = is_subscribed ? ListDelivery::kSubscribed : ListDelivery::kPushed;
   Report report("what one node receives from discovery: bytes and messages, with HTTP's own",
@@ -82,13 +84,13 @@
   std::vector<std::unique_ptr<TrafficTrial>> trials;
   for (const std::size_t servers : options.sizes("sizes", kListSizes)) {
     trials.push_back(std::make_unique<TrafficTrial>(io, servers, list_delivery));
-    trials.back()->run_start();
-    trials.back()->run_change();
+    trials.back()->run_start_phase();
+    trials.back()->run_change_phase();
   }
-  for (const auto& trial : trials) trial->begin_idle();
-  run_for(io, idle_time);
+  for (const auto& trial : trials) trial->begin_idle_phase();
+  run_for(io, idle_duration);
   for (const auto& trial : trials) report.add_row(trial->row());
-  report.add_note("idle: " + format_fixed(idle_time, 0) + " s without a change. Lists are " +
+  report.add_note("idle: " + format_fixed(idle_duration, 0) + " s without a change. Lists are " +
                   (is_subscribed ? "subscribed." : "pushed.") +
                   " Not ready: the start's counts are those of its first 3 s.");
   report.print(options.text("json", ""));
--- a/scale/measurement/allocations.cpp
+++ b/scale/measurement/allocations.cpp
@@ -1,4 +1,5 @@
-// What this program allocates: its operator new counts.
+// Counts of the memory that this program allocates, kept by its replacement of operator new and operator
+// delete.
 #include "scale/measurement/allocations.h"
 
 #include <malloc.h>
--- a/scale/measurement/allocations.h
+++ b/scale/measurement/allocations.h
@@ -1,19 +1,23 @@
-// What this program allocates: its operator new counts. For one thread.
+// Counts of the memory that this program allocates, kept by its replacement of operator new and operator
+// delete. The counters are not synchronized: only one thread may allocate.
 #pragma once
 
 #include <cstddef>
 
 namespace asterdrift::scale {
 
-// The counters of operator new.
+// Memory that operator new has allocated.
 struct Allocations {
-  std::size_t count = 0;       // calls of operator new so far
-  std::size_t bytes = 0;       // requested so far
-  std::size_t live_bytes = 0;  // allocated now, as the allocator rounds them
-  std::size_t peak_bytes = 0;  // maximum of live_bytes since reset_peak()
+  std::size_t count = 0;       // calls of operator new since the program's start
+  std::size_t bytes = 0;       // requested in these calls
+  std::size_t live_bytes = 0;  // allocated and not yet released, with the allocator's rounding up
+  std::size_t peak_bytes = 0;  // maximum of live_bytes since the last reset_peak()
 };
 
+// The counts so far.
 Allocations allocations();
+
+// Starts a new maximum for peak_bytes, from the current live_bytes.
 void reset_peak();
 
 }  // namespace asterdrift::scale
--- a/scale/measurement/load_generator.cpp
+++ b/scale/measurement/load_generator.cpp
@@ -1,4 +1,5 @@
-// Clients of a node: an open loop, whose latencies count from when a request was due.
+// An open-loop load generator for HTTP: requests are sent at random times that do not depend on the
+// responses, and a latency counts from the time at which its request was due.
 #include "scale/measurement/load_generator.h"
 
 #include <array>
@@ -26,12 +27,12 @@
 using boost::system::error_code;
 using test_support::steady_seconds;
 
-constexpr std::size_t kReadBuffer = 8192;    // bytes
-constexpr double kFirstRequestDelay = 0.01;  // s
-constexpr std::size_t kStatusAt = 9;         // position of the status code in a response
+constexpr std::size_t kReadBufferBytes = 8192;
+constexpr Seconds kFirstRequestDelay = 0.01;
+constexpr std::size_t kStatusCodePosition = 9;  // in a response, after "HTTP/1.1 "
 
-std::chrono::steady_clock::time_point steady_time(double seconds) {
-  const std::chrono::duration<double> since_epoch(seconds);
+std::chrono::steady_clock::time_point to_time_point(Seconds time) {
+  const std::chrono::duration<double> since_epoch(time);
   return std::chrono::steady_clock::time_point(
       std::chrono::duration_cast<std::chrono::nanoseconds>(since_epoch));
 }
@@ -48,9 +49,9 @@
 
   LoadResult run() {
     schedule_next();
-    const double expected_time = static_cast<double>(load_.requests) / interval_.lambda();
-    const double time_limit = expected_time * 1.5 + 1 + load_.response_timeout_s;
-    io_.run_until(steady_time(steady_seconds() + time_limit));
+    const Seconds expected_duration = static_cast<double>(load_.requests) / interval_.lambda();
+    const Seconds time_limit = expected_duration * 1.5 + 1 + load_.response_timeout;
+    io_.run_until(to_time_point(steady_seconds() + time_limit));
     result_.failed = load_.requests - result_.latencies.size();
     return std::move(result_);
   }
@@ -59,14 +60,14 @@
   struct Connection {
     explicit Connection(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
-    double request_due = 0;
+    Seconds request_due = 0;
     std::string request, received;
-    std::array<char, kReadBuffer> buffer;
+    std::array<char, kReadBufferBytes> buffer;
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
 
   void schedule_next() {
-    send_timer_.expires_at(steady_time(next_due_));
+    send_timer_.expires_at(to_time_point(next_due_));
     send_timer_.async_wait([this](const error_code& error) {
       if (error) return;
       while (sent_ < load_.requests && next_due_ <= steady_seconds()) {
@@ -77,7 +78,7 @@
     });
   }
 
-  void send_request(double due) {
+  void send_request(Seconds due) {
     sent_ += 1;
     const ConnectionPtr connection = take_connection();
     connection->request_due = due;
@@ -92,14 +93,14 @@
     });
   }
 
-  // An idle connection, or a new one that is not yet connected.
+  // Takes an idle connection, or creates one that is not yet connected.
   ConnectionPtr take_connection() {
-    if (idle_.empty()) {
+    if (idle_connections_.empty()) {
       result_.connections += 1;
       return std::make_shared<Connection>(io_);
     }
-    ConnectionPtr connection = std::move(idle_.back());
-    idle_.pop_back();
+    ConnectionPtr connection = std::move(idle_connections_.back());
+    idle_connections_.pop_back();
     return connection;
   }
 
@@ -119,12 +120,12 @@
           if (response_size == 0) return read(connection);
           record_response(*connection);
           connection->received.erase(0, response_size);
-          idle_.push_back(connection);
+          idle_connections_.push_back(connection);
         });
   }
 
   void record_response(const Connection& connection) {
-    const bool is_success = connection.received.compare(kStatusAt, 3, "200") == 0;
+    const bool is_success = connection.received.compare(kStatusCodePosition, 3, "200") == 0;
     if (is_success) result_.latencies.push_back(steady_seconds() - connection.request_due);
   }
 
@@ -133,10 +134,10 @@
   tcp::endpoint server_address_;
   asio::steady_timer send_timer_;
   std::minstd_rand random_;
-  std::exponential_distribution<> interval_;  // s between two requests
-  double next_due_;
+  std::exponential_distribution<> interval_;  // seconds between two requests
+  Seconds next_due_;
   std::size_t sent_ = 0;
-  std::vector<ConnectionPtr> idle_;
+  std::vector<ConnectionPtr> idle_connections_;
   LoadResult result_;
 };
 
--- a/scale/measurement/process_usage.h
+++ b/scale/measurement/process_usage.h
@@ -1,23 +1,26 @@
-// What the system reports of processes, and this process's limit of open files.
+// Processor time and memory of processes, from /proc, and this process's limit on open files.
 #pragma once
 
 #include <sys/types.h>
 
 #include <cstddef>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::scale {
 
-// Processor time and memory of one process.
+// Processor time and memory of one process. One MB has 2^20 bytes.
 struct ProcessUsage {
-  double processor_time_s = 0;  // so far
-  double resident_mb = 0;       // now; MB of 2^20 bytes
-  double peak_mb = 0;           // maximum so far; MB of 2^20 bytes
+  Seconds processor_time = 0;  // since the start of the process
+  double resident_mb = 0;      // resident memory
+  double peak_mb = 0;          // maximum of the resident memory since the start of the process
 };
 
-// All zero for a process that does not exist.
-ProcessUsage usage_of(pid_t process);
+// Reads the usage of a process. All values are 0 if the process does not exist.
+ProcessUsage read_process_usage(pid_t process);
 
-// Raises this process's soft limit of open files to the hard one. Returns the limit that holds then.
+// Raises this process's soft limit on open files to its hard limit, and returns that. Throws
+// std::system_error if the limit cannot be read or raised.
 std::size_t raise_descriptor_limit();
 
 }  // namespace asterdrift::scale
--- a/scale/measurement/processor_time.cpp
+++ b/scale/measurement/processor_time.cpp
@@ -1,4 +1,5 @@
-// The cost of work as this thread's processor time, which leaves out what other processes take.
+// Measures the cost of work in processor time of the calling thread, which does not include the time that
+// other processes take.
 #include "scale/measurement/processor_time.h"
 
 #include <time.h>
@@ -12,16 +13,16 @@
 
 }  // namespace
 
-double thread_processor_time() {
+Seconds thread_processor_time() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * 1e-9;
 }
 
-double processor_clock_cost() {
-  std::vector<double> costs;
+Seconds measure_clock_cost() {
+  std::vector<Seconds> costs;
   for (int sample = 0; sample < kClockSamples; ++sample) {
-    const double started_at = thread_processor_time();
+    const Seconds started_at = thread_processor_time();
     costs.push_back(thread_processor_time() - started_at);
   }
   return median(costs);
--- a/scale/measurement/processor_time.h
+++ b/scale/measurement/processor_time.h
@@ -1,33 +1,37 @@
-// The cost of work as this thread's processor time, which leaves out what other processes take.
+// Measures the cost of work in processor time of the calling thread, which does not include the time that
+// other processes take.
 #pragma once
 
 #include <algorithm>
 #include <cstddef>
 #include <vector>
 
+#include "asterdrift/seconds.h"
+
 namespace asterdrift::scale {
 
-// Processor time of this thread so far, in s.
-double thread_processor_time();
+// The processor time that the calling thread has used so far.
+Seconds thread_processor_time();
 
-// What reading that clock twice costs, in s.
-double processor_clock_cost();
+// The processor time between two reads of the thread's clock with nothing in between: the median of many
+// samples.
+Seconds measure_clock_cost();
 
-// Processor time of one run of `work`, in s.
+// The processor time of one run of `work`, less the cost of reading the clock.
 template <class Work>
-double cost_of(const Work& work) {
-  static const double kClockCost = processor_clock_cost();
-  const double started_at = thread_processor_time();
+Seconds measure_cost(const Work& work) {
+  static const Seconds kClockCost = measure_clock_cost();
+  const Seconds started_at = thread_processor_time();
   work();
   return std::max(0.0, thread_processor_time() - started_at - kClockCost);
 }
 
-// Costs of so many runs in ascending order; `work` gets the number of the run, from 0.
+// The processor times of `runs` runs in ascending order. `work` gets the index of the run, from 0.
 template <class Work>
-std::vector<double> costs_of(int runs, const Work& work) {
-  std::vector<double> costs;
+std::vector<Seconds> measure_costs(int runs, const Work& work) {
+  std::vector<Seconds> costs;
   costs.reserve(static_cast<std::size_t>(runs));
-  for (int run = 0; run < runs; ++run) costs.push_back(cost_of([&] { work(run); }));
+  for (int run = 0; run < runs; ++run) costs.push_back(measure_cost([&] { work(run); }));
   std::sort(costs.begin(), costs.end());
   return costs;
 }
