--- a/adapter/replica_host.h
+++ b/adapter/replica_host.h
@@ -32,7 +32,7 @@
 
   std::map<int, Replica> replicas_;
   EndpointTables tables_;
-  std::vector<balancer::Action> actions_;  // of the replica that is being handled
+  std::vector<balancer::Action> actions_;  // the actions of the replica that is being handled
   ReplyWriter reply_;
 };
 
--- a/node/admin/admin_connection.h
+++ b/node/admin/admin_connection.h
@@ -15,8 +15,8 @@
 
 // The sources of the admin server's responses.
 struct AdminCallbacks {
-  std::function<bool()> is_ready;               // for GET /ready
-  std::function<std::string()> metrics_report;  // for GET /metrics
+  std::function<bool()> is_ready;               // decides the status of the response to GET /ready
+  std::function<std::string()> metrics_report;  // returns the body of the response to GET /metrics
 };
 
 // Reads one request, sends the response, and closes the connection.
@@ -53,8 +53,8 @@
   std::function<void()> on_closed_;
   State state_ = State::kReading;
   bool has_received_bytes_ = false;  // whether a part of the request has arrived
-  Seconds state_since_;              // on the steady clock
-  std::size_t parsed_bytes_ = 0;     // of the request's head
+  Seconds state_since_;              // time on the steady clock at which state_ was entered
+  std::size_t parsed_bytes_ = 0;     // how many bytes of the request's head have been parsed
   std::size_t discarded_bytes_ = 0;  // received after the response
   std::string input_, output_;
   // Not eager, so that the parser stops at the end of the head.
--- a/node/config/endpoint_list.h
+++ b/node/config/endpoint_list.h
@@ -25,7 +25,8 @@
 
 // One entry of an endpoint list.
 struct ListedEndpoint {
-  balancer::Endpoint endpoint;                    // its address is a name that is the same at every node
+  // The endpoint's address is a name that is the same at every node.
+  balancer::Endpoint endpoint;
   boost::asio::ip::tcp::endpoint socket_address;  // unspecified if the endpoint has been removed
 };
 
--- a/node/config/endpoint_list_reader.cpp
+++ b/node/config/endpoint_list_reader.cpp
@@ -11,7 +11,8 @@
 
 // Limits the buffered text of one entry, and that of all fields except the entries.
 constexpr std::size_t kMaxBufferedTextBytes = 256UL * 1024;
-constexpr std::size_t kEntryParserBufferBytes = 4096;  // on the stack; enough for typical entries
+// The size of an entry parser's buffer, which is on the stack. Enough for typical entries.
+constexpr std::size_t kEntryParserBufferBytes = 4096;
 
 // The number of open brackets between the list's fields, between its entries, and inside an entry.
 constexpr std::size_t kListDepth = 1, kEntriesDepth = 2, kEntryDepth = 3;
--- a/node/config/node_config.h
+++ b/node/config/node_config.h
@@ -28,12 +28,13 @@
   std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // none: no admin server is opened
   std::uint64_t seed = 0;
   std::size_t max_sockets = 1024;
-  std::size_t memory_mb = 64;  // in units of 2^20 bytes
+  std::size_t memory_mb = 64;  // the node's memory, in units of 2^20 bytes
   balancer::Settings settings;
   std::vector<std::string> classes, tenants, zones;  // the names, in the order of the settings
   Seconds connect_timeout = 0.25;
-  Seconds server_idle_timeout = 5;              // servers close connections that are idle for this long
-  std::optional<EndpointList> known_endpoints;  // from an earlier process of this node; may be outdated
+  Seconds server_idle_timeout = 5;  // servers close connections that are idle for this long
+  // The endpoints that an earlier process of this node knew. The list may be outdated.
+  std::optional<EndpointList> known_endpoints;
 };
 
 // An endpoint takes about 470 bytes in the balancer and the connection pools, and 650 bytes while a snapshot
--- a/node/discovery/discovery_client.h
+++ b/node/discovery/discovery_client.h
@@ -64,10 +64,12 @@
   bool next_is_snapshot_ = false;  // the changes since version_ are not valid
   bool had_snapshot_ = false;      // a snapshot has arrived from address_
   std::shared_ptr<EndpointWatch> current_;
-  std::shared_ptr<EndpointWatch> successor_;  // at a new address, until its first list
-  bool is_changing_address_ = false;          // from a change of address_ until its first list arrives
-  bool is_connected_ = true;                  // true at the start and after a list, false after an error
-  std::string last_invalid_list_message_;     // why the last invalid list was rejected; logged once
+  // The watch at a new address, until the first list from that address arrives.
+  std::shared_ptr<EndpointWatch> successor_;
+  // True from a change of address_ until the first list from the new address arrives.
+  bool is_changing_address_ = false;
+  bool is_connected_ = true;               // true at the start and after a list, false after an error
+  std::string last_invalid_list_message_;  // why the last invalid list was rejected; logged once
   PollBudget budget_;
   std::minstd_rand random_;
   boost::asio::steady_timer retry_timer_;
--- a/node/discovery/poll_timeouts.h
+++ b/node/discovery/poll_timeouts.h
@@ -31,12 +31,14 @@
 
 constexpr Seconds kNotifiedAfter = 6, kNotifiedAfterAddressChange = 4;
 constexpr Seconds kConnectTimeout = 1.5;
-constexpr Seconds kResponseTimeout = 2.2;  // from the connection; polls wait up to 2 s in discovery's queue
-constexpr Seconds kConnectAndResponseTimeout = 2.5;  // from the start of the poll to the response head
+// Limits the time from the connection to the response head. Polls wait up to 2 s in discovery's queue.
+constexpr Seconds kResponseTimeout = 2.2;
+// Limits the time from the start of the poll to the response head.
+constexpr Seconds kConnectAndResponseTimeout = 2.5;
 // From the start of a poll of the local agent to the response head.
 constexpr Seconds kAgentResponseTimeout = 1.0;
 constexpr Seconds kSilenceTimeout = 2.7;    // discovery sends an empty line on a watch every 2 s
-constexpr Seconds kFirstLineTimeout = 2.2;  // from a late response head to the first line
+constexpr Seconds kFirstLineTimeout = 2.2;  // limits the time from a late response head to the first line
 constexpr Seconds kMaxPollDelay = 0.3;      // between two polls of one address
 // When an agent pushes the lists, a change counts as notified as soon as the agent is back, and polling the
 // agent is cheap: this delay stays far below the time within which requests to a draining server must stop.
--- a/node/dispatch/in_flight_request.h
+++ b/node/dispatch/in_flight_request.h
@@ -29,7 +29,7 @@
   void end(balancer::Outcome outcome);
 
   upstream::AttemptHandle handle;
-  Seconds sent_at = 0;  // on the steady clock
+  Seconds sent_at = 0;  // time on the steady clock at which the attempt was sent
   State state = State::kOpen;
 };
 
--- a/node/dispatch/messages.h
+++ b/node/dispatch/messages.h
@@ -22,7 +22,8 @@
   std::shared_ptr<upstream::UpstreamRequest> upstream_request;
   std::string client_request_id;  // the value of the client's Request-Id header
   Seconds received_at = 0;        // when the last byte of the request arrived, on the steady clock
-  Seconds timeout = 0;            // from when the client sent the last byte of the request
+  // The request's timeout, which counts from when the client sent the last byte of the request.
+  Seconds timeout = 0;
   // Whether the client has disconnected. Empty if that is not known.
   std::function<bool()> has_client_disconnected;
 };
@@ -34,7 +35,8 @@
   std::string body = {}, content_type = {};
   memory::MemoryReservation body_reservation = {};
   std::shared_ptr<memory::BodyStream> streamed_body = {};  // replaces `body` if the response is streamed
-  std::optional<std::uint64_t> content_length = {};        // of streamed_body; empty: not known
+  // The length of streamed_body in bytes; empty: not known.
+  std::optional<std::uint64_t> content_length = {};
 };
 
 }  // namespace asterdrift::node::dispatch
--- a/node/dispatch/request_dispatcher.cpp
+++ b/node/dispatch/request_dispatcher.cpp
@@ -111,8 +111,8 @@
   }
 }
 
-// It is not known how far the failed action was executed, so an attempt that it left without a connection
-// counts as one that may have run.
+// How far the failed action was executed is not known, so an attempt that the action left without a
+// connection counts as one that may have run.
 void RequestDispatcher::end_after_failure(InFlightRequest& request) {
   if (request.awaits_response()) {
     const ResponseCallback on_response = end_request(request);
--- a/node/downstream/connection.h
+++ b/node/downstream/connection.h
@@ -100,7 +100,8 @@
   ResponseSender sender_;
   bool is_read_wait_pending_ = false;
   bool has_responded_ = false;
-  std::size_t discarded_bytes_ = 0;  // bytes received after the last response
+  // How many bytes have been received after the last response.
+  std::size_t discarded_bytes_ = 0;
 
   // The state of the current request.
   std::optional<dispatch::RequestId> request_id_;  // set when the dispatcher has accepted the request
--- a/node/downstream/connection_evictor.h
+++ b/node/downstream/connection_evictor.h
@@ -36,7 +36,7 @@
 
   ServerState& server_;
   EvictionLog log_;
-  Reason reason_ = Reason::kClientIsWaiting;  // for the current eviction
+  Reason reason_ = Reason::kClientIsWaiting;  // the reason for the current eviction
 };
 
 }  // namespace asterdrift::node::downstream
--- a/node/downstream/input_buffer.h
+++ b/node/downstream/input_buffer.h
@@ -46,7 +46,7 @@
   };
 
   memory::MemoryBudget& budget_;
-  memory::MemoryReservation reservation_;  // for pipelined bytes
+  memory::MemoryReservation reservation_;  // the memory that is reserved for pipelined bytes
   std::string bytes_;
   // Segments of bytes_, and of removed bytes that parsed_bytes_arrived_at() has not processed yet.
   std::deque<Segment> segments_;
--- a/node/downstream/request_validator.cpp
+++ b/node/downstream/request_validator.cpp
@@ -21,7 +21,8 @@
 using Head = RequestParser::Head;
 
 constexpr Seconds kMaxTimeout = 600;
-constexpr std::size_t kMaxHeaderValueBytes = 128;  // for interpreted headers except Request-Info
+// Limits the value of each interpreted header except Request-Info.
+constexpr std::size_t kMaxHeaderValueBytes = 128;
 constexpr std::size_t kMaxTargetBytes = 2048;
 constexpr std::size_t kMaxContentLengthDigits = 18;
 
--- a/node/downstream/request_validator.h
+++ b/node/downstream/request_validator.h
@@ -35,7 +35,8 @@
   void check_matches_class(const RequestParser::Head& head,
                            const balancer::RequestClass& request_class) const;
 
-  Indexes class_indexes_, tenant_indexes_;  // by name
+  // The index of each class and of each tenant, by its name.
+  Indexes class_indexes_, tenant_indexes_;
   std::vector<balancer::RequestClass> classes_;
 };
 
--- a/node/downstream/response_writer.h
+++ b/node/downstream/response_writer.h
@@ -25,7 +25,7 @@
     bool close_connection = false;  // adds a "Connection: close" header
     bool client_reads_chunks =
         false;               // if false, a body of unknown length ends when the connection is closed
-    bool head_only = false;  // for the response to a HEAD request
+    bool head_only = false;  // omits the body, as the response to a HEAD request requires
   };
 
   void begin(dispatch::DownstreamResponse&& response, const Options& options);
@@ -44,7 +44,7 @@
 
  private:
   std::string piece_;                      // the head, or bytes of a streamed body
-  dispatch::DownstreamResponse response_;  // its body is written after the head
+  dispatch::DownstreamResponse response_;  // the response's body is written after the head
   bool is_first_piece_ = false;            // the first piece has the head and, unless streamed, the body
   bool is_chunked_ = false;
   std::shared_ptr<memory::BodyStream> stream_;
--- a/node/downstream/server_state.h
+++ b/node/downstream/server_state.h
@@ -24,7 +24,7 @@
 
 // What a client's connection is doing.
 enum class ConnectionState {
-  kInitial,               // before the connection's start
+  kInitial,               // the connection has not been started yet
   kAwaitingFirstRequest,  // the client has sent nothing yet
   kIdle,                  // the client has sent nothing since the last response
   kReading,               // a request is arriving
--- a/node/process/graceful_shutdown.cpp
+++ b/node/process/graceful_shutdown.cpp
@@ -22,7 +22,7 @@
 // deadline, which is 3 s at most, plus 0.7 s.
 constexpr Seconds kAcceptTime = 0.55;  // during which new connections are accepted
 constexpr Seconds kMaxDeadline = 3;
-constexpr Seconds kConnectTime = 0.1;  // for establishing a connection
+constexpr Seconds kConnectTime = 0.1;  // the time allowed for establishing a connection
 // Connections that clients began to establish before the hand-over may arrive for this long after it.
 constexpr Seconds kMaxHandOverTime = 0.3;
 // A process without connections still waits for this long after kAcceptTime before it ends.
@@ -33,7 +33,7 @@
 constexpr Seconds kIdleCloseLeadWithoutOtherNode = 0.1;
 // Requests that are still in flight this long after the longest deadline get their final responses.
 constexpr Seconds kFinalResponseDelay = 0.45;
-constexpr Seconds kFinalWriteTime = 0.1;  // for writing the final responses
+constexpr Seconds kFinalWriteTime = 0.1;  // the time allowed for writing the final responses
 
 Seconds max_deadline(const balancer::Settings& settings) {
   Seconds longest = 0;
--- a/node/process/graceful_shutdown.h
+++ b/node/process/graceful_shutdown.h
@@ -38,7 +38,8 @@
   // How long after the beginning the requests that are still in flight get their final responses.
   const Seconds final_response_time_;
   const bool is_only_replica_;  // the tier has no other replica
-  Seconds began_at_ = 0;        // on the steady clock; 0: has not begun
+  // Time on the steady clock at which the shutdown began; 0: the shutdown has not begun.
+  Seconds began_at_ = 0;
   bool is_accepting_ = true;
   // When the kernel was told to direct all new connections to another process, on the steady clock; 0: never.
   Seconds handed_over_at_ = 0;
--- a/node/process/process_group.h
+++ b/node/process/process_group.h
@@ -48,7 +48,8 @@
   std::vector<pid_t> others() const;
 
   int file_ = -1;  // descriptor of the lock file
-  int slot_ = 0;   // this process's slot in the lock file, which has a byte for each state
+  // The index of the slot that this process has taken in the lock file. A slot has a byte for each state.
+  int slot_ = 0;
   std::vector<pid_t> older_processes_;  // the other processes that were alive when this one started
 };
 
--- a/node/process/resource_limits.h
+++ b/node/process/resource_limits.h
@@ -17,7 +17,7 @@
   std::size_t upstream_connections;
   std::size_t downstream_connections;
   std::size_t admin_connections;
-  std::size_t body_bytes;  // for request and response bodies together
+  std::size_t body_bytes;  // the memory for request and response bodies together
 };
 
 }  // namespace asterdrift::node::process
--- a/node/telemetry/metrics.h
+++ b/node/telemetry/metrics.h
@@ -49,7 +49,7 @@
 
  private:
   struct ClassCounters {
-    std::string name;  // as reported
+    std::string name;  // the name of the request class in the report
     std::uint64_t completed = 0, rejected = 0, failed = 0;
   };
 
@@ -59,7 +59,7 @@
   static constexpr std::size_t kEvictionStates = 4;
 
   std::vector<ClassCounters> classes_;
-  std::array<EvictionCounters, kEvictionStates> evictions_;  // by Eviction::ConnectionState
+  std::array<EvictionCounters, kEvictionStates> evictions_;  // the counters of each Eviction::ConnectionState
   std::uint64_t evictions_without_waiting_client_ = 0;
   std::uint64_t attempts_ = 0;
 };
--- a/node/upstream/attempt.h
+++ b/node/upstream/attempt.h
@@ -22,8 +22,9 @@
   memory::MemoryReservation body_reservation;
   // The bytes of the body that the client is still sending. Null: buffered_body is the complete body.
   std::shared_ptr<memory::BodyStream> body_stream;
-  bool is_chunked = false;            // the length of the body is not known
-  bool body_stream_consumed = false;  // bytes of body_stream were sent, and are not buffered any more
+  bool is_chunked = false;  // the length of the body is not known
+  // Whether bytes of body_stream were sent, and are not buffered any more.
+  bool body_stream_consumed = false;
   // Whether the client still awaits a response. Called before bytes are sent. The call may end attempts of
   // the request.
   std::function<bool()> is_response_awaited;
@@ -32,7 +33,8 @@
 // The result of an attempt that has ended.
 struct UpstreamResult {
   balancer::Outcome outcome = balancer::Outcome::kUnknown;
-  std::string body, content_type;  // of a successful response that has not been streamed
+  // The body and content type of a successful response that has not been streamed.
+  std::string body, content_type;
   memory::MemoryReservation body_reservation;
   // When the last byte of body_stream was sent, on the steady clock. 0: the request has no body_stream, or it
   // has not been sent completely.
--- a/node/upstream/connection.h
+++ b/node/upstream/connection.h
@@ -54,7 +54,8 @@
   bool is_stale();
   void close();
 
-  List::iterator idle_position;  // in the owner's list of idle connections, while this connection is idle
+  // The position in the owner's list of idle connections. Valid while this connection is idle.
+  List::iterator idle_position;
 
  private:
   enum class State { kConnecting, kWriting, kReading, kIdle, kClosed };
@@ -86,7 +87,7 @@
   const std::uint64_t generation_;
   State state_ = State::kConnecting;
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::ip::tcp::endpoint address_;  // of the server, from connect() on
+  boost::asio::ip::tcp::endpoint address_;  // the address of the server, set by connect()
   bool is_waiting_readable_ = false;
   Seconds idle_since_ = 0;
 
--- a/node/upstream/connection_pool.h
+++ b/node/upstream/connection_pool.h
@@ -87,7 +87,8 @@
   std::uint64_t last_attempt_id_ = 0, last_generation_ = 0;
   std::uint32_t lists_applied_ = 0;
   Endpoints endpoints_;
-  Connection::List idle_;  // of all endpoints; the longest idle is first
+  // The idle connections of all endpoints. The connection that has been idle for the longest time is first.
+  Connection::List idle_;
   boost::asio::steady_timer expiry_timer_;
 };
 
--- a/node/upstream/request_serializer.h
+++ b/node/upstream/request_serializer.h
@@ -39,9 +39,10 @@
  private:
   std::shared_ptr<UpstreamRequest> request_;
   // The current piece consists of owned_ and then borrowed_.
-  std::string owned_;          // bytes that the serializer owns
+  std::string owned_;          // the part of the piece that the serializer owns
   std::string_view borrowed_;  // the buffered body of request_, or empty
-  std::size_t written_ = 0;    // bytes of the current piece that have been written
+  // How many bytes of the current piece have been written.
+  std::size_t written_ = 0;
   bool is_last_piece_ = false;
 };
 
--- a/node/upstream/response_receiver.h
+++ b/node/upstream/response_receiver.h
@@ -58,7 +58,7 @@
   boost::asio::io_context& io_;
   memory::MemoryBudget& budget_;
   std::optional<ResponseParser> parser_;
-  memory::MemoryReservation reservation_;       // for the buffered body
+  memory::MemoryReservation reservation_;       // the memory that is reserved for the buffered body
   std::shared_ptr<memory::BodyStream> stream_;  // null until the body is streamed
 };
 
