--- a/include/asterdrift/balancer/events.h
+++ b/include/asterdrift/balancer/events.h
@@ -20,7 +20,7 @@
   std::string id;
   std::size_t tenant = 0;                 // index into Settings::tenants
   std::size_t request_class = 0;          // index into Settings::classes
-  Seconds time_left = 0;                  // until the client gives up
+  Seconds time_left = 0;                  // time until the client gives up
   std::optional<Seconds> announced_work;  // time that the request takes on a standard core
   bool is_client_retry = false;           // the client marked the request as a retry of its own
   bool body_arriving = false;             // the body is incomplete; RequestBodySent follows
@@ -43,7 +43,7 @@
 struct ResponseStarted {
   std::string id;
   int attempt = 0;
-  Seconds elapsed = 0;  // since the attempt was sent
+  Seconds elapsed = 0;  // time since the attempt was sent
 };
 
 // The last byte of a request whose body was arriving has been sent on an attempt. The server cannot begin
@@ -63,7 +63,7 @@
   std::string id;
   int attempt = 0;
   Outcome outcome = Outcome::kUnknown;
-  Seconds elapsed = 0;        // since the attempt was sent
+  Seconds elapsed = 0;        // time since the attempt was sent
   bool request_done = false;  // the request needs no further response
 };
 
--- a/include/asterdrift/balancer/settings.h
+++ b/include/asterdrift/balancer/settings.h
@@ -22,8 +22,9 @@
 struct RequestClass {
   Seconds latency_objective = 0;          // a response within this time earns its full priority weight
   double latency_objective_per_work = 0;  // the objective grows by this many times the announced work
-  Seconds timeout = 0;                    // for all attempts together, and an upper bound of the objective
-  double late_priority_weight = 0;        // fraction of the weight that a response after the objective earns
+  // Time limit for all attempts of a request together, and an upper bound of the objective.
+  Seconds timeout = 0;
+  double late_priority_weight = 0;  // fraction of the weight that a response after the objective earns
   Idempotency idempotency = Idempotency::kNotIdempotent;
   DedupScope dedup_scope = DedupScope::kAll;
   // Servers drop duplicates for this long, counted from when the first attempt was sent that may have been
@@ -38,7 +39,7 @@
 
 // The settings of one replica.
 struct Settings {
-  int replica_index = 0;          // this replica's number, 0 .. replica_count - 1
+  int replica_index = 0;          // number of this replica, 0 .. replica_count - 1
   int replica_count = 1;          // number of replicas of the load balancer that send to this tier
   int tier = 0;                   // the tier of servers this replica sends to; clients reach tier 0 first
   int zone = 0;                   // the zone this replica runs in
--- a/src/balancer/admission_control.cpp
+++ b/src/balancer/admission_control.cpp
@@ -7,7 +7,7 @@
 namespace asterdrift::balancer {
 namespace {
 
-constexpr Seconds kBucketWidth = 0.1;   // of the sliding window
+constexpr Seconds kBucketWidth = 0.1;   // width of a bucket of the sliding window
 constexpr int kLastSecondBuckets = 10;  // the short window is the last second
 // An empty window admits as many requests at once as the limit allows in its length. A window of more than
 // kMaxWindowBuckets would detect a burst only after the end of the burst.
--- a/src/balancer/admission_control.h
+++ b/src/balancer/admission_control.h
@@ -35,7 +35,7 @@
   const TrafficStatistics& traffic_;
   Seconds window_length_;
   support::SlidingWindow window_;
-  double quota_share_ = 0;  // this replica's share of the tenant's quota
+  double quota_share_ = 0;  // share of this replica in the tenant's quota
   double limit_ = kInfinity;
   double fixed_min_limit_;
   // Without a quota, the limit is at least this many times the rate of responses in time.
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -219,7 +219,7 @@
   std::size_t tenant_index(std::size_t tenant) const { return std::min(tenant, admission_.size() - 1); }
 
   ReplicaState state_;
-  std::vector<TenantAdmission> admission_;  // by tenant
+  std::vector<TenantAdmission> admission_;  // admission control of each tenant
   ConcurrencyLimit concurrency_{state_};
   SlowStart slow_start_{state_};
   EndpointSelection selection_{state_, concurrency_, slow_start_};
@@ -227,7 +227,7 @@
   OutcomeRecorder recorder_{state_, admission_, selection_, retries_};
   RequestLedger ledger_{state_};
   SheddingLog shedding_log_;
-  std::vector<Action>* actions_ = nullptr;  // of the event that is being handled
+  std::vector<Action>* actions_ = nullptr;  // actions of the event that is being handled
 };
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed)
--- a/src/balancer/endpoint_record.h
+++ b/src/balancer/endpoint_record.h
@@ -34,7 +34,7 @@
 struct EndpointRecord {
   const std::string& name() const { return advertised.address; }
 
-  Endpoint advertised = {};  // as in the last update
+  Endpoint advertised = {};  // endpoint as listed in the last update
   std::uint64_t hash = 0;    // hash of the address; gives all replicas the same order of endpoints
   int in_flight = 0;         // requests of this replica in flight at the endpoint
   bool indexed = false;      // the endpoint is ready, and is contained in the indexes
@@ -42,7 +42,8 @@
   bool listed = false;       // the last snapshot or a later update contains the endpoint
   SlowStartBudget slow_start = {};
   support::DecayingRate response_rate{kResponseRateTimeConstant};
-  support::DecayingMean latency{kLatencyTimeConstant, kMaxLatencySamples};  // as fractions of the objective
+  // Latencies of attempts at the endpoint, as fractions of the objective.
+  support::DecayingMean latency{kLatencyTimeConstant, kMaxLatencySamples};
   Seconds sent_at_sum = 0;     // sum of the send times of the requests in flight
   Seconds first_seen_at = 0;   // when this replica first saw the endpoint's current process
   double rounding_offset = 0;  // random, for rounding this replica's share of the capacity, in requests
--- a/src/balancer/endpoint_selection.h
+++ b/src/balancer/endpoint_selection.h
@@ -43,9 +43,11 @@
   SlowStart& slow_start_;
   std::vector<std::uint32_t> examined_slots_;
   support::WeightedSample<std::uint32_t> candidates_;
-  support::DecayingMean local_latency_;   // of the own zone, as a multiple of the tier's latency
-  support::DecayingMean remote_latency_;  // of other zones, as a multiple of the tier's latency
-  double remote_weight_ = 0;              // remote_weight() when the collection of candidates began
+  // Latency of the endpoints in the own zone, as a multiple of the tier's latency.
+  support::DecayingMean local_latency_;
+  // Latency of the endpoints in other zones, as a multiple of the tier's latency.
+  support::DecayingMean remote_latency_;
+  double remote_weight_ = 0;  // remote_weight() when the collection of candidates began
 };
 
 }  // namespace asterdrift::balancer
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -41,7 +41,7 @@
   std::size_t max_attempts() const;
 
   const ReplicaState& state_;
-  std::vector<support::SampledEstimate> latency_;  // by class, in seconds
+  std::vector<support::SampledEstimate> latency_;  // latency of each request class, in seconds
   double retry_tokens_;
 };
 
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -44,10 +44,11 @@
  private:
   std::size_t sample_size(const support::CircularRange& range) const;
 
-  std::vector<support::CircularRange> ranges_;  // of the own zone and of other zones, or of all endpoints
+  // Ranges of the endpoints of the own zone and of other zones, or of all endpoints.
+  std::vector<support::CircularRange> ranges_;
   std::vector<std::uint32_t> fixed_sample_;
   std::size_t size_ = 0;
-  std::size_t next_position_ = 0;  // where sample_next() continues
+  std::size_t next_position_ = 0;  // position at which sample_next() continues
   double sharing_replicas_ = 1;
   bool prefers_own_zone_ = false;
 };
--- a/src/balancer/traffic_statistics.h
+++ b/src/balancer/traffic_statistics.h
@@ -31,13 +31,14 @@
   // Whether the traffic is so low that the number of requests in flight at one moment is not meaningful.
   bool is_low(Seconds now) const;
 
-  double quota_rate = 0;  // this replica's share of the quotas of all tenants, in requests per second
+  // Share of this replica in the quotas of all tenants, in requests per second.
+  double quota_rate = 0;
   support::SampledEstimate objective;  // latency objective of the incoming requests, in seconds
   support::SampledEstimate latency;    // latency of the tier, as a fraction of the objective
   // Latency of the tier without queueing, as a fraction of the objective.
   support::AsymmetricBaseline idle_latency_fraction;
-  support::DecayingRate admission_rate;  // of admitted requests
-  support::DecayingRate response_rate;   // of successful responses
+  support::DecayingRate admission_rate;  // rate of admitted requests
+  support::DecayingRate response_rate;   // rate of successful responses
   std::uint64_t response_count = 0;      // successful responses since the start
   support::DecayingLevel in_flight;      // requests of this replica in flight at the tier
 };
--- a/tests/adapter/simulator_adapter_test.cpp
+++ b/tests/adapter/simulator_adapter_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 struct AdapterResult {
-  std::vector<std::string> lines;  // of the adapter's standard output
+  std::vector<std::string> lines;  // lines of the adapter's standard output
   std::string errors;              // text on the adapter's standard error
   int exit_code = 0;
 };
--- a/tests/balancer/admission_control_test.cpp
+++ b/tests/balancer/admission_control_test.cpp
@@ -34,7 +34,7 @@
   TestReplica replica(settings_with_quota(10));
   replica.handle(0, make_snapshot(4));
   const double limit = replica.balancer.tenant_metrics(0, 0).rate_limit;
-  const double requests = 400 * limit;  // within one second
+  const double requests = 400 * limit;  // number of requests within one second
   int admitted_at_end = 0;
   for (int i = 0; i < static_cast<int>(requests); ++i) {
     replica.now = i / requests;
--- a/tests/balancer/concurrency_limit_test.cpp
+++ b/tests/balancer/concurrency_limit_test.cpp
@@ -82,7 +82,7 @@
 // An initial limit that is small for one replica would overload the endpoints when all replicas start
 // together.
 TEST(ConcurrencyLimit, InitialLimitIsSplitAmongReplicas) {
-  std::map<std::string, int> in_flight;  // by endpoint
+  std::map<std::string, int> in_flight;  // requests in flight by endpoint
   for (int index = 0; index < 8; ++index) {
     Settings settings = settings_with_large_quota();
     settings.replica_index = index;
@@ -112,7 +112,7 @@
 struct ReplicaTraffic {
   int replicas;
   int endpoints;
-  double requests_per_second;  // of the one replica, at random times
+  double requests_per_second;  // rate of requests of the one replica, at random times
   Seconds latency;             // every fourth response takes 2.5 times as long, the others half as long
   Seconds duration;
 };
@@ -181,7 +181,7 @@
   ReplicaTraffic traffic_;
   TestReplica replica_;
   LinearCongruentialRandom random_{7};
-  std::multimap<Seconds, OpenAttempt> open_attempts_;  // by end time
+  std::multimap<Seconds, OpenAttempt> open_attempts_;  // open attempts by end time
   TrafficCounts counts_;
 };
 
--- a/tests/balancer/connect_failure_test.cpp
+++ b/tests/balancer/connect_failure_test.cpp
@@ -23,8 +23,8 @@
   return attempts;
 }
 
-// A replica beyond the first tier, where neither a rate limit nor a concurrency limit rejects these few
-// requests.
+// A replica beyond the first tier. Neither a rate limit nor a concurrency limit rejects the few requests of
+// a test there.
 TestReplica replica_beyond_first_tier() {
   Settings settings = settings_with_large_quota();
   settings.tier = 1;
--- a/tests/balancer/endpoint_scale_test.cpp
+++ b/tests/balancer/endpoint_scale_test.cpp
@@ -17,7 +17,7 @@
 #include "support/random_event_stream.h"
 
 namespace {
-std::size_t allocated_bytes = 0;  // by the whole program, since its start
+std::size_t allocated_bytes = 0;  // bytes that the whole program has allocated since its start
 }
 
 // Not inlined, because GCC reports the inlined std::malloc() and std::free() as mismatched with the
--- a/tests/balancer/retry_depth_test.cpp
+++ b/tests/balancer/retry_depth_test.cpp
@@ -33,9 +33,10 @@
                                          {Outcome::kConnectFailed, "dial failed"}};
 
 struct FailureRate {
-  double fraction;  // of the attempts at a failing tier
+  double fraction;  // fraction of the attempts at a failing tier that fail
   const char* name;
-  double max_attempts;  // that reach servers of any single tier, for each request to the first tier
+  // Largest number of attempts that reach servers of any single tier, for each request to the first tier.
+  double max_attempts;
 };
 
 CallChainScenario make_scenario(FailingTiers failing, Outcome outcome, double fraction, bool has_quota) {
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -1,5 +1,5 @@
 // Slow start in a fleet: all replicas together send a starting server at most N + 2 x sqrt(N) + 2 attempts in
-// any window of overload_window, where N is the number of attempts that the settings allow at that time. Each
+// any window of overload_window. N is the number of attempts that the settings allow at that time. Each
 // scenario runs with several seeds.
 #include <gtest/gtest.h>
 
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -12,7 +12,8 @@
 
 constexpr int kReplicas = 10;
 constexpr int kEndpoints = 10;
-constexpr double kRequestsPerSecond = 20;  // from each replica, and to each endpoint from all replicas
+// Rate of requests from each replica, and to each endpoint from all replicas.
+constexpr double kRequestsPerSecond = 20;
 constexpr Seconds kRunStartsAt = 100;
 constexpr Seconds kRunDuration = 40;
 constexpr Seconds kStartedAt = 109;   // start of the starting endpoint
--- a/tests/node/client_departure_test.cpp
+++ b/tests/node/client_departure_test.cpp
@@ -149,7 +149,7 @@
       continue;
     }
     EXPECT_TRUE(server.is_idle());
-    // This response no longer has a client. The upstream connection can serve the next request.
+    // The client of the next response has departed. The upstream connection can serve the next request.
     server.send(ok_response());
     TestSocket next_client = fixture.connect_client();
     next_client.send(request("close", "", "next", "r2"));
--- a/tests/node/connection_limit_test.cpp
+++ b/tests/node/connection_limit_test.cpp
@@ -89,7 +89,7 @@
 // evicted after a short time, and not only at its read timeout.
 TEST(ConnectionLimit, ClientIsServedSoonWhilePartialRequestsHoldAllConnections) {
   FewSocketsFixture fixture;
-  fixture.node->suspend();  // so that the node accepts all connections at once
+  fixture.node->suspend();  // the node is suspended so that it accepts all connections at once
   std::vector<TestSocket> slow_clients;
   for (int i = 0; i < kMaxConnectionsWith100Sockets; ++i) {
     slow_clients.push_back(fixture.connect_client());
--- a/tests/node/race_conditions_test.cpp
+++ b/tests/node/race_conditions_test.cpp
@@ -19,7 +19,8 @@
   std::vector<TestSocket> clients;
   clients.reserve(300);
   for (int i = 0; i < 300; ++i) clients.push_back(fixture.connect_client());
-  fixture.health_response();  // this client is the last in the accept queue, so all others have been accepted
+  // The client of the health request is the last in the accept queue, so all others have been accepted.
+  fixture.health_response();
   const Stopwatch stopwatch;
   fixture.node->suspend();
   wait_until([&] { return stopwatch.seconds() > 2.6; });
--- a/tests/soak/message_fields.cpp
+++ b/tests/soak/message_fields.cpp
@@ -17,7 +17,7 @@
 }
 
 int parse_status(const std::string& response) {
-  constexpr std::size_t kStatusPosition = 9;  // after "HTTP/1.1 "
+  constexpr std::size_t kStatusPosition = 9;  // the status follows "HTTP/1.1 "
   return response.size() > kStatusPosition ? std::atoi(response.c_str() + kStatusPosition) : 0;
 }
 
--- a/tests/soak/observations.h
+++ b/tests/soak/observations.h
@@ -40,7 +40,7 @@
   std::string endpoint;
   Seconds began_at = 0;         // when the first byte arrived
   Seconds head_at = 0;          // when the last byte of the head arrived
-  std::int64_t timeout_ms = 0;  // from the Request-Timeout-Ms that the node has sent
+  std::int64_t timeout_ms = 0;  // value of the Request-Timeout-Ms that the node has sent
   bool is_complete = false;     // the last byte of the request has arrived
   bool is_rejected = false;     // the endpoint responded that it has not started the request
 };
--- a/tests/soak/rules.cpp
+++ b/tests/soak/rules.cpp
@@ -22,7 +22,7 @@
 // Responses of this size or more are streamed, and have no time limit.
 constexpr std::size_t kMinStreamedBytes = 65536;
 // The node must not close a new connection on which nothing has been sent before the connection has this age.
-// The lower age applies if the node is at its connection limit, where it may have no other connection to
+// The lower age applies if the node is at its connection limit, when it may have no other connection to
 // close.
 constexpr Seconds kMinUnusedTime = 0.25, kMinUnusedTimeAtLimit = 0.05;
 
--- a/tests/soak/script.cpp
+++ b/tests/soak/script.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::uint64_t kScriptStream = 1;
 constexpr int kMaxSockets = 600, kMaxSocketsWithFlood = 100;
-constexpr Seconds kMinTimeBeforeSigterm = 2.2;  // from the start to the first SIGTERM
+constexpr Seconds kMinTimeBeforeSigterm = 2.2;  // shortest time from the start to the first SIGTERM
 
 const char* description(DiscoveryStep::Kind kind) {
   switch (kind) {
--- a/tests/soak/script.h
+++ b/tests/soak/script.h
@@ -18,7 +18,7 @@
 struct SignalStep {
   enum class Target { kFirst, kSuccessor };
 
-  Seconds at = 0;  // after the start of the run
+  Seconds at = 0;  // time after the start of the run
   int signal_number = 0;
   Target target = Target::kFirst;
 };
@@ -35,7 +35,7 @@
     kResumeListening
   };
 
-  Seconds at = 0;  // after the start of the run
+  Seconds at = 0;  // time after the start of the run
   Kind kind = Kind::kSilenceWatches;
   std::size_t endpoint = 0;  // index of the endpoint for kDrain and kRemove
 };
@@ -48,7 +48,7 @@
   bool has_connection_flood = false;  // additional clients open more connections than the node accepts
   bool has_successor = false;         // a second process replaces the first one
   std::size_t clients = 0;
-  std::size_t endpoints = 0;  // at the start
+  std::size_t endpoints = 0;  // number of endpoints at the start
   int max_sockets = 0;
   Seconds successor_starts_at = 0;
   Seconds sigterm_at = 0;                  // the first SIGTERM to the first process
--- a/tests/soak/script_random.h
+++ b/tests/soak/script_random.h
@@ -16,7 +16,8 @@
   }
 
   std::size_t below(std::size_t bound) { return static_cast<std::size_t>(generator_() % bound); }
-  double unit() { return static_cast<double>(generator_() >> 11U) * 0x1p-53; }  // from 0 to below 1
+  // A uniformly distributed random number from 0 to below 1.
+  double unit() { return static_cast<double>(generator_() >> 11U) * 0x1p-53; }
   double between(double low, double high) { return low + (high - low) * unit(); }
   bool chance(double probability) { return unit() < probability; }
 
--- a/tests/soak/scripted_client.h
+++ b/tests/soak/scripted_client.h
@@ -19,7 +19,8 @@
 
   int port = 0;
   std::atomic<bool> is_stopped = false;
-  std::atomic<Seconds> connects_until = 1e300;  // on the steady clock
+  // Time on the steady clock until which clients may connect.
+  std::atomic<Seconds> connects_until = 1e300;
 };
 
 // Sends one request after the other, on keep-alive connections and on new ones. Connections that are open
--- a/tests/soak/scripted_endpoint.h
+++ b/tests/soak/scripted_endpoint.h
@@ -30,10 +30,10 @@
     kHang,
     kResetInsideBody,
     kResetAfterRequest,
-    kFail,                     // with status 500
-    kReject,                   // with status 503 and Not-Started
-    kRespondAndClose,          // with "Connection: close"
-    kRespondWithSlowLargeBody  // in pieces, with pauses
+    kFail,                     // response with status 500
+    kReject,                   // response with status 503 and Not-Started
+    kRespondAndClose,          // response with "Connection: close"
+    kRespondWithSlowLargeBody  // response in pieces, with pauses
   };
   struct Request {
     AttemptRecord attempt;
--- a/tests/support/balancer_fixture.h
+++ b/tests/support/balancer_fixture.h
@@ -36,7 +36,7 @@
 // Whether, and at which servers, a request may be executed more than once.
 struct IdempotencyPolicy {
   Idempotency idempotency;
-  DedupScope dedup_scope;  // for Idempotency::kIdempotencyKey
+  DedupScope dedup_scope;  // deduplication scope for Idempotency::kIdempotencyKey
 };
 
 // All outcomes except success.
--- a/tests/support/child_process.h
+++ b/tests/support/child_process.h
@@ -21,7 +21,7 @@
 // A program and how to start it.
 struct Program {
   std::string path;
-  Environment environment;                 // in addition to the inherited variables
+  Environment environment;                 // variables in addition to the inherited ones
   std::optional<rlim_t> descriptor_limit;  // largest number of open files; inherited if unset
 };
 
--- a/tests/support/linear_congruential_random.h
+++ b/tests/support/linear_congruential_random.h
@@ -17,7 +17,7 @@
   }
   std::uint64_t next() { return next_state() >> 33; }  // low bits of the state are not random enough
   std::size_t below(std::size_t bound) { return static_cast<std::size_t>(next() % bound); }
-  double unit() { return static_cast<double>(below(1 << 20)) / (1 << 20); }  // in [0, 1)
+  double unit() { return static_cast<double>(below(1 << 20)) / (1 << 20); }  // random number in [0, 1)
 
  private:
   std::uint64_t state_;
--- a/tests/support/loopback_socket.cpp
+++ b/tests/support/loopback_socket.cpp
@@ -103,7 +103,7 @@
 void TestSocket::close() { descriptor_.close(); }
 
 void TestSocket::reset() {
-  const linger immediately{1, 0};  // with a linger time of 0, close() sends RST
+  const linger immediately{1, 0};  // close() sends RST if the linger time is 0
   setsockopt(descriptor_.get(), SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
   close();
 }
--- a/tests/support/random_event_stream.h
+++ b/tests/support/random_event_stream.h
@@ -68,8 +68,8 @@
   std::size_t attempts_ = 0;
   std::size_t retries_ = 0;
   std::vector<SimulatedEndpoint> endpoints_;
-  std::multimap<Seconds, OpenAttempt> open_attempts_;  // by end time
-  std::map<std::string, int> attempt_counts_;          // by request id
+  std::multimap<Seconds, OpenAttempt> open_attempts_;  // open attempts by end time
+  std::map<std::string, int> attempt_counts_;          // number of attempts by request id
   EventDigest digest_;
 };
 
--- a/tests/support/simulated_call_chain.h
+++ b/tests/support/simulated_call_chain.h
@@ -26,16 +26,18 @@
   using FailureModel = std::function<std::optional<Outcome>(int tier, Seconds now, double draw)>;
 
   int tiers = 28;
-  int servers_per_tier = 3;          // a single replica sends to the first tier
-  Settings settings;                 // of each replica, except its tier, its index and the number of replicas
-  double requests_per_second = 100;  // to the first tier
-  Seconds duration = 20;             // of the period in which requests arrive
+  int servers_per_tier = 3;  // a single replica sends to the first tier
+  // Settings of each replica, except its tier, its index and the number of replicas.
+  Settings settings;
+  double requests_per_second = 100;  // rate of requests to the first tier
+  Seconds duration = 20;             // length of the period in which requests arrive
   // Time that a server itself takes for a request, without the next tier: between 0.5 and 1.5 times the mean.
   Seconds mean_service_time = 0.001;
   int slots = 1000;                // requests that a server handles at the same time
   std::vector<int> slots_by_tier;  // replaces `slots` unless empty
   int max_queue_length = 0;  // requests that may wait for a slot of a server, which rejects further ones
-  Seconds connect_timeout = 0.25;  // after which an attempt ends whose connection is not established
+  // Time after which an attempt ends if its connection is not established.
+  Seconds connect_timeout = 0.25;
   FailureModel failure_model = [](int, Seconds, double) { return std::nullopt; };
   std::uint64_t seed = 1;
 };
@@ -134,8 +136,8 @@
   std::uint64_t last_request_id_ = 0;
   EventQueue queue_;
   std::vector<std::unique_ptr<Balancer>> replicas_;
-  std::vector<std::vector<ServerSlots>> servers_;  // by tier
-  // By request id. Finished requests stay, because scheduled events refer to them.
+  std::vector<std::vector<ServerSlots>> servers_;  // servers of each tier
+  // Requests by id. Finished requests stay, because scheduled events refer to them.
   std::map<std::string, std::shared_ptr<PendingRequest>> requests_;
   CallChainCounts counts_;
 };
--- a/tests/support/simulated_fleet/fleet_scenario.h
+++ b/tests/support/simulated_fleet/fleet_scenario.h
@@ -31,7 +31,7 @@
 
   double load = 0.6;          // rate of arriving requests, as a fraction of the fleet's capacity
   double burst_factor = 1;    // multiplies the load during the burst
-  Seconds burst_delay = 0.5;  // from `start_at` to the beginning of the burst
+  Seconds burst_delay = 0.5;  // time from `start_at` to the beginning of the burst
   Seconds burst_duration = 6;
   double quota_fraction = 0.82;  // sum of all tenants' quotas, as a fraction of the fleet's capacity
 
@@ -43,16 +43,18 @@
   Seconds start_at = 12;
   Seconds end_at = 26;
   bool restart_after_crash = false;  // the starting servers ran before and crashed; otherwise they are new
-  Seconds min_notification_delay = 0.28;  // from a server's start until a replica is notified of the start
-  Seconds notification_spread = 2;        // longest random addition to the delay, drawn for each replica
+  // Shortest time from a server's start until a replica is notified of the start.
+  Seconds min_notification_delay = 0.28;
+  Seconds notification_spread = 2;  // longest random addition to the delay, drawn for each replica
 
   Fault fault = Fault::kNone;
-  double faulty_fraction = 0;    // of the servers that run from the beginning
+  double faulty_fraction = 0;    // faulty fraction of the servers that run from the beginning
   double slowdown = 2;           // factor by which the service time of slow servers is longer
   bool shared_slowdown = false;  // all servers become slow at `start_at`
   ReplicaSetChange replica_set_change = ReplicaSetChange::kNone;
 
-  double client_retry_probability = 0.7;       // after a rejection or a failure
+  // Probability that a client retries after a rejection or a failure.
+  double client_retry_probability = 0.7;
   double work_coefficient_of_variation = 0.6;  // standard deviation of a request's work over its mean
   std::uint64_t seed = 1;
 };
--- a/tests/support/simulated_fleet/overload_window.h
+++ b/tests/support/simulated_fleet/overload_window.h
@@ -9,12 +9,12 @@
 namespace asterdrift::balancer {
 
 // The load that a starting server received within overload_window seconds, compared with a limit of
-// N + 2 x sqrt(N) + 2, where N is the load that the settings allow at that time.
+// N + 2 x sqrt(N) + 2. N is the load that the settings allow at that time.
 struct OverloadWindow {
   double margin = std::numeric_limits<double>::infinity();  // `limit` minus `received`
   double received = 0;
   double limit = 0;
-  Seconds time_since_start = 0;  // at the end of the window
+  Seconds time_since_start = 0;  // time from the server's start to the end of the window
 };
 
 // The load of all starting servers of a run. Each window is the one with the smallest margin. Windows in
@@ -24,9 +24,9 @@
   OverloadWindow work;      // like `attempts`, but counts the attempts' work in requests of mean work
   // Like `attempts`, but N follows from the capacity at the beginning of the window.
   OverloadWindow attempts_by_capacity_at_window_start;
-  // Within slow_start_duration after the start, or until end_at.
+  // Attempts within slow_start_duration after the start, or until end_at.
   double attempts_received = 0;
-  double attempts_possible = 0;  // with the capacity that the settings give
+  double attempts_possible = 0;  // attempts possible with the capacity that the settings give
 };
 
 // Adds the load of one server to `load`, if the server started during the run.
--- a/tests/support/simulated_fleet/simulated_fleet.h
+++ b/tests/support/simulated_fleet/simulated_fleet.h
@@ -48,13 +48,14 @@
   struct PendingRequest {
     ClientRequest client;
     bool finished = false;            // a response was sent, or the client has given up
-    std::vector<bool> attempt_ended;  // by attempt number
+    std::vector<bool> attempt_ended;  // whether each attempt has ended, by attempt number
   };
   struct Replica {
     std::unique_ptr<Balancer> balancer;
     Settings settings;
     bool running = true;
-    std::vector<bool> notified;  // by server: whether the replica was notified of the server's start
+    // Whether the replica was notified of the start of each server.
+    std::vector<bool> notified;
     std::unordered_map<std::string, PendingRequest> requests;
   };
 
@@ -90,7 +91,7 @@
   std::vector<RequestClass> classes_;
   EventQueue queue_;
   SimulationRandom random_;
-  double capacity_ = 0;  // of all servers together, in requests/s
+  double capacity_ = 0;  // capacity of all servers together, in requests/s
   // The first `starting_servers` start during the run. A deque, because scheduled events refer to its
   // elements.
   std::deque<SimulatedServer> servers_;
--- a/tests/support/simulated_fleet/simulated_server.cpp
+++ b/tests/support/simulated_fleet/simulated_server.cpp
@@ -15,7 +15,7 @@
 constexpr double kCongestedSpeedFactor = 0.6;
 constexpr Seconds kTimeFromUnresponsiveToStart = 2;
 constexpr Seconds kPausePeriod = 3;
-constexpr Seconds kPauseDuration = 0.4;  // at the beginning of each period
+constexpr Seconds kPauseDuration = 0.4;  // duration of the pause at the beginning of each period
 
 }  // namespace
 
--- a/tests/support/simulated_fleet/simulation_random.h
+++ b/tests/support/simulated_fleet/simulation_random.h
@@ -6,7 +6,7 @@
 
 namespace asterdrift::balancer {
 
-// The same seed gives the same numbers.
+// Random numbers of a simulation. The same seed gives the same numbers.
 class SimulationRandom {
  public:
   explicit SimulationRandom(std::uint64_t seed) : engine_(seed) {}
