--- a/scale/benchmark/balancer_trial.h
+++ b/scale/benchmark/balancer_trial.h
@@ -71,9 +71,11 @@
   std::set<std::string> subset_;     // endpoints that got attempts during the warm-up
   bool is_subset_degraded_ = false;  // true once the warm-up is over
   std::priority_queue<AttemptEnd, std::vector<AttemptEnd>, std::greater<>> attempt_ends_;
-  std::unordered_map<std::string, Seconds> costs_;  // by the request's id
-  std::unordered_map<std::string, int> attempts_;   // by the request's id
-  std::vector<balancer::Action> actions_;           // caused by the last event
+  // Processor time of each request, by the request's id.
+  std::unordered_map<std::string, Seconds> costs_;
+  // Number of attempts sent so far for each request, by the request's id.
+  std::unordered_map<std::string, int> attempts_;
+  std::vector<balancer::Action> actions_;  // caused by the last event
   std::uint64_t last_request_ = 0;
   std::size_t rejected_ = 0;
 };
--- a/scale/benchmark/change_benchmark.cpp
+++ b/scale/benchmark/change_benchmark.cpp
@@ -21,8 +21,8 @@
 constexpr std::size_t kMaxShortListServers = 1000;  // longer lists are measured with fewer changes
 constexpr int kLongListChanges = 101;
 constexpr int kShortListChanges = 1001;
-constexpr std::size_t kChangedIndexStep = 7919;  // from one changed server to the next
-constexpr Seconds kChangePeriod = 0.1;           // in simulated time
+constexpr std::size_t kChangedIndexStep = 7919;  // distance in the list from one changed server to the next
+constexpr Seconds kChangePeriod = 0.1;           // simulated time between two changes
 
 std::string format_microseconds(Seconds duration) { return format_fixed(duration * 1e6, 2); }
 
--- a/scale/benchmark/idle_benchmark.cpp
+++ b/scale/benchmark/idle_benchmark.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr Seconds kReadyTimeout = 10;
-constexpr Seconds kSettlingTime = 0.5;  // after the change rate is set, before the measurement
+constexpr Seconds kSettlingTime = 0.5;  // pause between setting the change rate and the measurement
 
 // Measures one node, and returns the row of the report.
 std::vector<std::string> measure_row(const std::string& program, std::size_t servers,
--- a/scale/benchmark/latency_benchmark.cpp
+++ b/scale/benchmark/latency_benchmark.cpp
@@ -26,7 +26,7 @@
 struct Path {
   std::string name;
   int port = 0;
-  std::vector<Seconds> latencies;  // in ascending order after send_rounds()
+  std::vector<Seconds> latencies;  // latencies, in ascending order after send_rounds()
   std::size_t failed = 0;
 };
 
@@ -34,7 +34,7 @@
   Path direct{"direct", 0, {}, 0};
   Path proxy{"proxy", 0, {}, 0};
   Path node{"node", 0, {}, 0};
-  Seconds node_processor_time = 0;  // for all requests on the path through the node
+  Seconds node_processor_time = 0;  // the node's processor time for all requests on its path
 };
 
 std::string format_milliseconds(Seconds duration) { return format_fixed(duration * 1000, 3); }
--- a/scale/benchmark/memory_benchmark.cpp
+++ b/scale/benchmark/memory_benchmark.cpp
@@ -15,8 +15,8 @@
 
 // The memory of a parsed endpoint list, and the list as an event of the balancer.
 struct ListMemory {
-  std::size_t live_bytes = 0;  // of the parsed list
-  std::size_t peak_bytes = 0;  // while the list was parsed
+  std::size_t live_bytes = 0;  // bytes allocated for the parsed list
+  std::size_t peak_bytes = 0;  // maximum of the allocated bytes while the list was parsed
   balancer::EndpointUpdate update;
 };
 
@@ -33,11 +33,13 @@
 
 // The memory of a balancer in the course of its endpoint list and two changes.
 struct BalancerMemory {
-  std::size_t empty_bytes = 0;               // before the balancer has endpoints
-  std::size_t live_bytes = 0;                // with all endpoints
-  std::size_t peak_bytes = 0;                // while the balancer applied the list
-  std::size_t live_bytes_after_changes = 0;  // after both changes, with the event of the second one
-  Allocations second_change;                 // only `count` and `bytes` are set
+  std::size_t empty_bytes = 0;  // allocated bytes before the balancer has endpoints
+  std::size_t live_bytes = 0;   // allocated bytes when the balancer has all endpoints
+  // Maximum of the allocated bytes while the balancer applied the list.
+  std::size_t peak_bytes = 0;
+  // Allocated bytes after both changes, including the event of the second change.
+  std::size_t live_bytes_after_changes = 0;
+  Allocations second_change;  // only `count` and `bytes` are set
 };
 
 BalancerMemory measure_balancer(const balancer::EndpointUpdate& list, const balancer::Settings& settings) {
--- a/scale/benchmark/node_measurement.h
+++ b/scale/benchmark/node_measurement.h
@@ -12,8 +12,8 @@
 
 // The result of measure_node().
 struct NodeMeasurement {
-  ProcessUsage usage;               // at the end of the measurement
-  double processor_percent = 0;     // of one core
+  ProcessUsage usage;               // the node's usage at the end of the measurement
+  double processor_percent = 0;     // the node's processor time as a percentage of one core
   double kilobytes_per_second = 0;  // sent by discovery, of 1024 bytes
   double polls_per_second = 0;
 };
--- a/scale/benchmark/propagation_benchmark.cpp
+++ b/scale/benchmark/propagation_benchmark.cpp
@@ -26,9 +26,10 @@
 
 using test_support::steady_seconds;
 
-constexpr Seconds kListTimeout = 30;               // until all nodes have applied a list
-constexpr Seconds kPauseBeforeChange = 0.1;        // before each change
-constexpr std::size_t kReservedDescriptors = 100;  // for everything except the nodes' connections
+constexpr Seconds kListTimeout = 30;         // longest wait until all nodes have applied a list
+constexpr Seconds kPauseBeforeChange = 0.1;  // pause before each change
+// Descriptors for everything except the nodes' connections.
+constexpr std::size_t kReservedDescriptors = 100;
 
 // Simulated nodes in this process, and the stand-in discovery in another process.
 class PropagationTrial {
--- a/scale/benchmark/traffic_benchmark.cpp
+++ b/scale/benchmark/traffic_benchmark.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Seconds kReadyTimeout = 3;
-constexpr Seconds kSettlingTime = 0.2;  // after the start, before the change
+constexpr Seconds kSettlingTime = 0.2;  // pause after the node's start, before the change
 constexpr Seconds kChangeTimeout = 0.2;
 
 // One node and its discovery. The trial records discovery's counts after each phase: start, change and idle
--- a/scale/capacity/assumptions.h
+++ b/scale/capacity/assumptions.h
@@ -11,7 +11,7 @@
   const char* key;
   double value;
   const char* unit;
-  const char* source;  // where the value comes from, then what it means
+  const char* source;  // origin of the value, then its meaning
 };
 
 namespace assumption {
--- a/scale/capacity/endpoint_list_calculations.cpp
+++ b/scale/capacity/endpoint_list_calculations.cpp
@@ -14,9 +14,10 @@
 
 // Which servers the endpoint list of one node contains.
 struct ListScope {
-  std::string name;                // prefix of the keys of the scope's results
-  double servers;                  // on the list
-  double largest_service_servers;  // on the list, in the fleet's largest service
+  std::string name;  // prefix of the keys of the scope's results
+  double servers;    // number of servers on the list
+  // Number of servers on the list that belong to the fleet's largest service.
+  double largest_service_servers;
 };
 
 // Adds the results of one list scope.
@@ -88,7 +89,7 @@
 
   Results& results_;
   ListScope scope_;
-  double idle_processor_percent_;  // of a core
+  double idle_processor_percent_;  // processor use of an idle node, as a percentage of a core
   double change_us_, snapshot_us_, resident_mb_;
   double change_rate_, fleet_fraction_;
 };
--- a/scale/capacity/fleet.cpp
+++ b/scale/capacity/fleet.cpp
@@ -50,7 +50,8 @@
 double list_bytes(double servers) {
   const std::string empty_list = R"({"seq":123456789,"whole":true,"hosts":[]})"
                                  "\n";
-  return static_cast<double>(empty_list.size()) + servers * (entry_bytes() + 1);  // with a comma
+  // Each entry takes one more byte for a comma.
+  return static_cast<double>(empty_list.size()) + servers * (entry_bytes() + 1);
 }
 
 double change_message_bytes() { return list_bytes(0) + entry_bytes() + assumption::kMessageOverhead.value; }
--- a/scale/capacity/fleet.h
+++ b/scale/capacity/fleet.h
@@ -27,7 +27,7 @@
   Fleet();
 
   std::vector<double> service_sizes;  // servers of each service, largest first
-  double total_servers = 0;           // of all services
+  double total_servers = 0;           // servers of all services
   double change_rate = 0;             // mean changes of the endpoint list per second
   double node_request_rate = 0;       // requests per second through each node
   double front_request_rate = 0;      // requests per second from outside the fleet
--- a/scale/capacity/measurements.h
+++ b/scale/capacity/measurements.h
@@ -15,8 +15,9 @@
 struct Measurement {
   double value = kNotMeasured;
   std::string unit;
-  std::string code_version = "-";  // of the measured code: "final", "untouched", or "-" if there is no report
-  std::string command;             // command line that printed the report
+  // Version of the measured code: "final", "untouched", or "-" if there is no report.
+  std::string code_version = "-";
+  std::string command;  // command line that printed the report
 };
 
 // All measurements, by their keys.
@@ -53,7 +54,7 @@
     double size;
     double cost;
   };
-  std::vector<Point> points_;  // by size
+  std::vector<Point> points_;  // measured points, in ascending order of size
 };
 
 }  // namespace asterdrift::scale::capacity
--- a/scale/capacity/page.h
+++ b/scale/capacity/page.h
@@ -11,8 +11,8 @@
 // A result whose text on the page differs from the calculated one.
 struct StaleResult {
   std::string key;
-  std::string shown;    // on the page
-  std::string current;  // as calculated
+  std::string shown;    // text of the result on the page
+  std::string current;  // text of the result as calculated
 };
 
 // The text of the page and the path of its file.
--- a/scale/capacity/units.h
+++ b/scale/capacity/units.h
@@ -8,7 +8,7 @@
 constexpr double kMicrosecondsPerMillisecond = 1e3;
 constexpr double kMillisecondsPerSecond = 1e3;
 constexpr double kBytesPerKilobyte = 1e3;
-constexpr double kBytesPerReportedKilobyte = 1024;  // KB in benchmark reports
+constexpr double kBytesPerReportedKilobyte = 1024;  // benchmark reports use KB of 1024 bytes
 
 // Processor time in microseconds per second that is one percent of a core.
 constexpr double kMicrosecondsPerSecondPerCorePercent = 1e4;
--- a/scale/guards/retry_guard_test.cpp
+++ b/scale/guards/retry_guard_test.cpp
@@ -31,7 +31,7 @@
   struct Setup {
     std::size_t tiers = 0;
     double failure_probability = 0;
-    std::optional<double> quota_requests_per_second;  // of the tenant; none if empty
+    std::optional<double> quota_requests_per_second;  // quota of the tenant; empty if there is none
     std::uint64_t seed = 1;
   };
 
@@ -101,7 +101,7 @@
   }
 
   Setup setup_;
-  std::vector<balancer::Balancer> balancers_;  // by tier
+  std::vector<balancer::Balancer> balancers_;  // one balancer for each tier, in the order of the tiers
   Seconds now_ = 100;
   std::uint64_t random_;
   std::uint64_t last_request_ = 0;
@@ -112,10 +112,11 @@
 // its successful responses, so requests that keep failing add nothing to the budget of any tier.
 TEST(ScaleGuard, RetriesAcrossTiersStayBounded) {
   struct Case {
-    std::optional<double> quota_requests_per_second;  // of the tenant, and the rate of the requests
+    // Quota of the tenant, equal to the rate of the requests; empty if the tenant has no quota.
+    std::optional<double> quota_requests_per_second;
     std::size_t tiers;
     double failure_probability;
-    double max_attempts_per_request;  // at the last tier
+    double max_attempts_per_request;  // limit on the attempts at the last tier for each request
   };
   const Case cases[] = {{{}, 8, 0.1, 1.2},  {{}, 28, 0.1, 1.2},  {{}, 8, 0.5, 2.1},  {{}, 28, 0.5, 2.1},
                         {{}, 8, 1, 1.2},    {{}, 28, 1, 1.2},    {100, 8, 0.1, 1.2}, {100, 28, 0.1, 1.2},
--- a/scale/measurement/load_generator.cpp
+++ b/scale/measurement/load_generator.cpp
@@ -29,7 +29,8 @@
 
 constexpr std::size_t kReadBufferBytes = 8192;
 constexpr Seconds kFirstRequestDelay = 0.01;
-constexpr std::size_t kStatusCodePosition = 9;  // in a response, after "HTTP/1.1 "
+// Position of the status code in a response, after "HTTP/1.1 ".
+constexpr std::size_t kStatusCodePosition = 9;
 
 std::chrono::steady_clock::time_point to_time_point(Seconds time) {
   const std::chrono::duration<double> since_epoch(time);
--- a/scale/measurement/load_generator.h
+++ b/scale/measurement/load_generator.h
@@ -11,7 +11,7 @@
 
 // The responses to the requests of send_load().
 struct LoadResult {
-  std::vector<Seconds> latencies;  // of the requests with status 200
+  std::vector<Seconds> latencies;  // latencies of the requests with status 200
   // The requests with another status, on a broken connection, or without a response in time.
   std::size_t failed = 0;
   std::size_t connections = 0;  // opened for the requests
@@ -19,7 +19,7 @@
 
 // The requests that send_load() sends.
 struct Load {
-  int port = 0;                    // on loopback, to which the requests go
+  int port = 0;                    // port on loopback to which the requests go
   double requests_per_second = 0;  // the mean of a Poisson process
   std::size_t requests = 0;
   unsigned seed = 1;             // determines the times of the requests
--- a/scale/measurement/process_usage.cpp
+++ b/scale/measurement/process_usage.cpp
@@ -28,7 +28,8 @@
 // The processor time in the text of /proc/PID/stat, with a resolution of one clock tick. This is the fallback
 // when the scheduler's statistics are not available.
 Seconds parse_tick_processor_time(const std::string& stat) {
-  constexpr int kFieldsBeforeTimes = 11;  // after the process's name, which is in parentheses
+  // Number of fields between the process's name, which is in parentheses, and the processor times.
+  constexpr int kFieldsBeforeTimes = 11;
   const std::size_t name_end = stat.rfind(')');
   if (name_end == std::string::npos) return 0;
   std::istringstream fields(stat.substr(name_end + 2));
--- a/scale/measurement/process_usage.h
+++ b/scale/measurement/process_usage.h
@@ -11,7 +11,7 @@
 
 // Processor time and memory of one process. One MB has 2^20 bytes.
 struct ProcessUsage {
-  Seconds processor_time = 0;  // since the start of the process
+  Seconds processor_time = 0;  // processor time since the start of the process
   double resident_mb = 0;      // resident memory
   double peak_mb = 0;          // maximum of the resident memory since the start of the process
 };
--- a/scale/stand_ins/discovery_process.cpp
+++ b/scale/stand_ins/discovery_process.cpp
@@ -18,10 +18,10 @@
 struct DiscoveryProcess::Command {
   enum class Operation { kSetMode, kSetDraining, kSetChangeRate, kReadCounts };
   Operation operation = Operation::kReadCounts;
-  DiscoveryMode mode{};           // for kSetMode
-  std::size_t index = 0;          // for kSetDraining
-  bool draining = false;          // for kSetDraining
-  double changes_per_second = 0;  // for kSetChangeRate
+  DiscoveryMode mode{};           // new mode for kSetMode
+  std::size_t index = 0;          // index of the server for kSetDraining
+  bool draining = false;          // whether the server drains, for kSetDraining
+  double changes_per_second = 0;  // new change rate for kSetChangeRate
 };
 
 struct DiscoveryProcess::Reply {
--- a/scale/stand_ins/node_setup.h
+++ b/scale/stand_ins/node_setup.h
@@ -11,7 +11,7 @@
 
 // When a node starts to watch discovery for endpoint lists.
 enum class ListDelivery {
-  kPushed,     // at its start
+  kPushed,     // the node watches from its start
   kSubscribed  // when the balancer requests a watch
 };
 
--- a/scale/stand_ins/simulated_node.h
+++ b/scale/stand_ins/simulated_node.h
@@ -53,7 +53,8 @@
   Counts counts_;
   std::uint64_t list_version_ = 0;
   std::uint64_t last_request_ = 0;
-  std::string attempted_endpoint_;  // of the current request's latest attempt; empty before the attempt
+  // Endpoint of the current request's latest attempt; empty before the attempt.
+  std::string attempted_endpoint_;
 };
 
 }  // namespace asterdrift::scale
